--- a/Client/Commands.cpp
+++ b/Client/Commands.cpp
@@ -58,8 +58,8 @@
 
 Commands::Commands(ClientSettings aSettings)
     : settings(std::move(aSettings)),
-      store(MakePersistentReads(
-          MakeHttpKeyValueStore(PlatformOf(this->settings)), kReadTries)),
+      store(MakeRetryingReads(MakeHttpKeyValueStore(PlatformOf(this->settings)),
+                              kReadTries)),
       configurations(*this->store) {}
 
 ExitStatus Commands::Run(const std::vector<std::string>& aWords) {
@@ -136,7 +136,7 @@
     return text.str();
   }
   std::string all = aFile + " is not valid:";
-  for (const ConfigurationFault& fault : parsed.faults) {
+  for (const ConfigurationError& fault : parsed.faults) {
     all += "\n  " + fault.Describe();
   }
   return Fail(ErrorKind::ConfigInvalid, all);
@@ -145,7 +145,7 @@
 ExitStatus Commands::Check(const std::string& aFile) {
   const Result<std::string> yaml = this->ReadChecked(aFile);
   if (!yaml) {
-    return PrintFault(yaml.error());
+    return PrintError(yaml.error());
   }
   if (this->settings.json) {
     PrintJson({{"valid", true}});
@@ -170,11 +170,11 @@
 ExitStatus Commands::Diff(const std::string& aFile) {
   const Result<std::string> yaml = this->ReadChecked(aFile);
   if (!yaml) {
-    return PrintFault(yaml.error());
+    return PrintError(yaml.error());
   }
   const auto stored = this->configurations.Load(nullptr);
   if (!stored) {
-    return PrintFault(stored.error());
+    return PrintError(stored.error());
   }
   const ConfigurationPieces before =
       *stored ? (*stored)->pieces : ConfigurationPieces{};
@@ -205,18 +205,18 @@
 ExitStatus Commands::Apply(const std::string& aFile) {
   const Result<std::string> yaml = this->ReadChecked(aFile);
   if (!yaml) {
-    return PrintFault(yaml.error());
+    return PrintError(yaml.error());
   }
   const auto stored = this->configurations.Load(nullptr);
   if (!stored) {
-    return PrintFault(stored.error());
+    return PrintError(stored.error());
   }
   const std::uint64_t present = *stored ? (*stored)->root.revision : 0;
   const bool baseFits =
       this->settings.base < 0 ||
       static_cast<std::uint64_t>(this->settings.base) == present;
   if (!baseFits) {
-    return PrintFault({ErrorKind::ConfigConflict,
+    return PrintError({ErrorKind::ConfigConflict,
                        "the accepted revision is " + std::to_string(present) +
                            ", not " + std::to_string(this->settings.base),
                        {}});
@@ -230,7 +230,7 @@
   const Result<ApplyOutcome> outcome =
       this->configurations.Apply(*yaml, *stored, MakeWriterName(), &WallMicros);
   if (!outcome) {
-    const ExitStatus status = PrintFault(outcome.error());
+    const ExitStatus status = PrintError(outcome.error());
     if (status == ExitStatus::Conflict) {
       this->ExplainConflict(*stored ? &**stored : nullptr);
     }
@@ -300,14 +300,14 @@
 ExitStatus Commands::Get() {
   const auto stored = this->configurations.Load(nullptr);
   if (!stored) {
-    return PrintFault(stored.error());
+    return PrintError(stored.error());
   }
   if (!*stored) {
-    return PrintFault({ErrorKind::BadRequest, "no file was applied yet", {}});
+    return PrintError({ErrorKind::BadRequest, "no file was applied yet", {}});
   }
   const Result<std::string> file = JoinConfiguration((*stored)->pieces);
   if (!file) {
-    return PrintFault(file.error());
+    return PrintError(file.error());
   }
   std::printf("# revision %llu\n%s\n",
               static_cast<unsigned long long>((*stored)->root.revision),
@@ -319,7 +319,7 @@
   const auto root = this->store->Get(kRootKey);
   const auto domains = this->Domains();
   if (!root || !domains) {
-    return PrintFault(root ? domains.error() : root.error());
+    return PrintError(root ? domains.error() : root.error());
   }
   std::uint64_t revision = 0;
   if (*root) {
@@ -344,7 +344,7 @@
       table.Add({domain.failureDomain, daemon.vm,
                  std::to_string(daemon.revision), state,
                  daemon.isHeard ? "as of " + AgeOf(domain.writtenAt)
-                                : AgeOf(daemon.heardAt)});
+                                : AgeOf(daemon.lastSeenAt)});
     }
   }
   table.Print();
@@ -362,13 +362,13 @@
 ExitStatus Commands::Collect() {
   const auto unused = this->configurations.CollectUnused({});
   if (!unused) {
-    return PrintFault(unused.error());
+    return PrintError(unused.error());
   }
   // A writer that is between its pieces and its root ends within this.
   std::this_thread::sleep_for(this->settings.wait);
   const auto left = this->configurations.CollectUnused(*unused);
   if (!left) {
-    return PrintFault(left.error());
+    return PrintError(left.error());
   }
   std::printf("removed %zu unused pieces\n", unused->size() - left->size());
   return ExitStatus::Ok;
@@ -379,7 +379,7 @@
   HttpCall call;
   call.method = aMethod;
   call.url = "http://" + this->settings.daemon + aPath;
-  const HttpCallResult result = FetchNow(call);
+  const HttpCallResult result = FetchBlocking(call);
   if (result.end != CallEnd::Answered) {
     return Fail(ErrorKind::PlatformUnavailable,
                 this->settings.daemon + " gave no answer: " + result.fault);
@@ -394,7 +394,7 @@
 ExitStatus Commands::AskDaemon(const std::string& aPath) {
   const Result<Json> json = this->Fetch("GET", aPath);
   if (!json) {
-    return PrintFault(json.error());
+    return PrintError(json.error());
   }
   if (this->settings.json) {
     PrintJson(*json);
@@ -408,7 +408,7 @@
 ExitStatus Commands::Show(const std::string& aPath, Table aTable, Fill aFill) {
   const Result<Json> json = this->Fetch("GET", aPath);
   if (!json) {
-    return PrintFault(json.error());
+    return PrintError(json.error());
   }
   if (this->settings.json) {
     PrintJson(*json);
@@ -473,7 +473,7 @@
 ExitStatus Commands::Drain() {
   const Result<Json> json = this->Fetch("POST", "/v1/drain");
   if (!json) {
-    return PrintFault(json.error());
+    return PrintError(json.error());
   }
   std::printf("%s is stopping: it ends what it has begun\n",
               this->settings.daemon.c_str());
--- a/Client/Console.cpp
+++ b/Client/Console.cpp
@@ -36,7 +36,7 @@
   std::printf("%s\n", aJson.dump().c_str());
 }
 
-ExitStatus PrintFault(const Error& aError) {
+ExitStatus PrintError(const Error& aError) {
   std::fprintf(stderr, "zincstep: %s\n", aError.message.c_str());
   switch (aError.kind) {
     case ErrorKind::ConfigInvalid:
--- a/Client/Console.h
+++ b/Client/Console.h
@@ -44,7 +44,7 @@
 /// Prints JSON on a line.
 void PrintJson(const nlohmann::json& aJson);
 /// Prints a fault to stderr and gives the status for its kind.
-ExitStatus PrintFault(const Error& aError);
+ExitStatus PrintError(const Error& aError);
 /// `aMicros` since 1970 as seconds ago, or `never`.
 std::string AgeOf(std::int64_t aMicros);
 
--- a/EdgeDaemon/Main.cpp
+++ b/EdgeDaemon/Main.cpp
@@ -8,7 +8,7 @@
 
 zincstep::Result<zincstep::EdgeAdapters> MakeAdapters(
     asio::io_context& aLoop, const zincstep::EdgeSettings& aSettings,
-    zincstep::StoreEras& aEras) {
+    zincstep::StoreEraTracker& aEras) {
   namespace platform = zincstep::platform;
   auto store = platform::MakeStore(aLoop, aSettings.store, aEras);
   if (!store) {
--- a/FuzzTests/ClaimStateTest.cpp
+++ b/FuzzTests/ClaimStateTest.cpp
@@ -63,10 +63,10 @@
 
   void AddDaemon(int aDomain) {
     Daemon daemon;
-    daemon.member.name = "vm" + std::to_string(this->born) + "/x";
+    daemon.member.name = "vm" + std::to_string(this->startTimeMs) + "/x";
     daemon.member.failureDomain = "d" + std::to_string(aDomain);
     daemon.lists = this->agreed;
-    this->born += 1;
+    this->startTimeMs += 1;
     this->daemons.push_back(std::move(daemon));
   }
 
@@ -182,7 +182,7 @@
     // The rule: it runs now, and no other run of the key is remembered.
     const auto last = this->ranAt.find(aRound.key);
     RC_ASSERT(last == this->ranAt.end() ||
-              this->clock.Now() - last->second >= kKeyMemory - kVoteTime);
+              this->clock.Now() - last->second >= kKeyRetention - kVoteTime);
     this->ranAt[aRound.key] = this->clock.Now();
     this->runs += 1;
   }
@@ -283,9 +283,9 @@
   std::vector<std::string> gone;
   std::map<std::string, std::string> handedTo;
   MemberLists agreed;
-  std::vector<MemberKeeper> keepers{kDomains,
-                                    MemberKeeper(MemberKeeperSettings{})};
-  int born = 0;
+  std::vector<MemberListPlanner> keepers{
+      kDomains, MemberListPlanner(MemberListPlannerSettings{})};
+  int startTimeMs = 0;
   int runs = 0;
 };
 
--- a/FuzzTests/LeaseStateTest.cpp
+++ b/FuzzTests/LeaseStateTest.cpp
@@ -33,7 +33,7 @@
   struct Holder {
     LeaseGuard guard{LeaseGuardSettings{kTtl, kTtl / 3}};
     LeaseId lease = 0;
-    Instant dutySince;
+    Instant leaderSince;
   };
   struct Upstream {
     bool checksFence = false;
@@ -59,7 +59,7 @@
     const bool mine = found && found->value == name;
     if (aAnswerLost ? mine : swapped.has_value()) {
       holder.guard.OnTaken(found->revision, sentAt);
-      holder.dutySince = sentAt;
+      holder.leaderSince = sentAt;
     }
   }
 
@@ -83,8 +83,8 @@
     Upstream& upstream = this->upstreams[aUpstream];
     const Instant now = this->clock.Now();
     const bool waitsOut =
-        !upstream.checksFence && now - holder.dutySince < kTtl + kFlight;
-    if (!holder.guard.MayAct(now) || waitsOut) {
+        !upstream.checksFence && now - holder.leaderSince < kTtl + kFlight;
+    if (!holder.guard.MayIssueOrders(now) || waitsOut) {
       return;
     }
     // Whoever may act holds the lease by the service's own clock too.
--- a/FuzzTests/StoreRestoreTest.cpp
+++ b/FuzzTests/StoreRestoreTest.cpp
@@ -143,11 +143,11 @@
   void OnUpstream(const UpstreamPtr&) override {}
   void OnDaemonEntries() override {}
 
-  StoreEras eras;
+  StoreEraTracker eras;
   ClusterView view;
   std::uint64_t highest = 0;
   /// When the store first answered in this life.
-  std::optional<Instant> heardAt;
+  std::optional<Instant> lastSeenAt;
 };
 
 class World {
@@ -232,7 +232,7 @@
         RC_ASSERT(daemon->view.Directory().Find(item.key) != nullptr);
       }
       RC_ASSERT(daemon->view.ConfigVersion() == this->version);
-      RC_ASSERT(daemon->view.ProofAge().has_value());
+      RC_ASSERT(daemon->view.ValidationAge().has_value());
     }
   }
 
@@ -255,7 +255,7 @@
         this->Ask(daemon, *other);
       }
     }
-    daemon.view.OnPeersHeard();
+    daemon.view.OnPeersAnswered();
   }
 
   void Change(const std::string& aId, int aArgument) {
@@ -284,7 +284,7 @@
   void Answer(Daemon& aDaemon, std::optional<std::uint64_t> aAsked,
               std::uint64_t aEra, const std::function<void()>& aTake) {
     if (aDaemon.eras.Accepts(aAsked, aEra)) {
-      aDaemon.heardAt = aDaemon.heardAt.value_or(this->clock.Now());
+      aDaemon.lastSeenAt = aDaemon.lastSeenAt.value_or(this->clock.Now());
       aTake();
     }
   }
@@ -315,7 +315,7 @@
     const StoreItem present = this->oracle.Configuration();
     this->Answer(aDaemon, aDaemon.eras.Present(), present.revision.era, [&] {
       aDaemon.view.OnConfiguration(present);
-      aDaemon.view.OnProof(present.revision, began);
+      aDaemon.view.OnValidated(present.revision, began);
     });
   }
 
@@ -325,10 +325,10 @@
     }
     aPeer.eras.OnTold(aDaemon.eras.Present().value_or(0));
     const std::uint64_t era = aPeer.eras.Present().value_or(0);
-    const ClusterCopy copy = aPeer.view.CopyFor(aDaemon.view.Revisions());
+    const ClusterUpdate copy = aPeer.view.UpdateFor(aDaemon.view.Revisions());
     aDaemon.eras.OnTold(era);
     if (era == aDaemon.eras.Present()) {
-      aDaemon.view.OnCopy(copy, this->clock.Now());
+      aDaemon.view.OnUpdate(copy, this->clock.Now());
     }
   }
 
@@ -347,7 +347,7 @@
       const std::uint64_t inForce = daemon->view.ConfigVersion();
       RC_ASSERT(inForce >= daemon->highest);
       daemon->highest = inForce;
-      const auto age = daemon->view.ProofAge();
+      const auto age = daemon->view.ValidationAge();
       if (!age || *age > kLongestProof) {
         continue;
       }
@@ -355,7 +355,7 @@
       // the store had lost before it first answered nobody tells this daemon
       // but peers that know better.
       for (const auto& [version, at] : this->acknowledged) {
-        const bool isKnowable = daemon->heardAt && at >= *daemon->heardAt;
+        const bool isKnowable = daemon->lastSeenAt && at >= *daemon->lastSeenAt;
         RC_ASSERT(!isKnowable || version <= inForce || now - at <= kRevocation);
       }
     }
--- a/FuzzTests/StreamStateTest.cpp
+++ b/FuzzTests/StreamStateTest.cpp
@@ -258,7 +258,7 @@
 /// The caller goes.
 struct CallerGoes : Base {
   void run(const StreamModel&, CheckedStream& aSut) const override {
-    aSut.Check(aSut.machine->OnCallerGone());
+    aSut.Check(aSut.machine->OnCallerDisconnected());
     aSut.isOver = true;
     RC_ASSERT(aSut.machine->IsOver());
   }
--- a/PerformanceTests/AdmissionBench.cpp
+++ b/PerformanceTests/AdmissionBench.cpp
@@ -109,7 +109,7 @@
   }
 
   void Begin() {
-    for (const QueuedRequest& late : this->queue.TakeExpired(this->now)) {
+    for (const QueuedRequest& late : this->queue.PopExpired(this->now)) {
       this->served[late.organisation].refused += 1;
       this->waiting.erase(late.id);
     }
@@ -317,7 +317,7 @@
       settled = std::max(settled, at);
       if (!budgeted) {
         tries.push(at + 0.1);
-      } else if (budget.TakeRetry()) {
+      } else if (budget.TryAcquireRetry()) {
         tries.push(at + ToSeconds(budget.Pause(1, random)));
       }
     }
--- a/PerformanceTests/PlacementBench.cpp
+++ b/PerformanceTests/PlacementBench.cpp
@@ -125,7 +125,7 @@
 /// The mean worth of the domains' layouts, and how many layers lack a holder.
 LayoutScore ScoreOf(const ModelShape& aModel,
                     const std::vector<PlacedUpstream>& aPool, double aDemand) {
-  const LayoutWorthSettings settings;
+  const LayoutScoreSettings settings;
   LayoutScore all;
   const auto domains = ByDomain(aPool);
   const auto count = static_cast<double>(domains.size());
@@ -138,13 +138,13 @@
   return all;
 }
 
-PlacementSituation SituationOf(const std::vector<PlacedUpstream>& aPool,
-                               double aDemand) {
-  PlacementSituation situation;
+PlacementInput SituationOf(const std::vector<PlacedUpstream>& aPool,
+                           double aDemand) {
+  PlacementInput situation;
   situation.upstreams = aPool;
   situation.demand = ObservedDemand{aDemand, 0};
   for (const auto& [domain, upstreams] : ByDomain(aPool)) {
-    situation.steadyDomains.insert(domain);
+    situation.stableDomains.insert(domain);
   }
   return situation;
 }
@@ -157,7 +157,7 @@
   const std::string suffix = "." + aShape.Name();
 
   std::vector<PlacementOrder> orders;
-  const PlacementSituation empty{pool, std::nullopt, {}, std::nullopt};
+  const PlacementInput empty{pool, std::nullopt, {}, std::nullopt};
   Print("placement.first_layout" + suffix,
         MillisOf([&] { orders = planner.Plan(model, empty); }), "ms");
   Carry(pool, orders);
@@ -165,7 +165,7 @@
   Print("placement.gaps" + suffix, first.gaps, "layers");
   Print("placement.worth" + suffix, first.worth, "share");
 
-  PlacementSituation look = SituationOf(pool, demand);
+  PlacementInput look = SituationOf(pool, demand);
   look.onlyImproved = "d0";
   Print("placement.look_of_one_domain" + suffix,
         MillisOf([&] { orders = planner.Plan(model, look); }), "ms");
--- a/PerformanceTests/Policies.cpp
+++ b/PerformanceTests/Policies.cpp
@@ -22,7 +22,7 @@
 
   Chain Choose(int aDecider, Instant aNow) override {
     ChainPlanner& planner = this->Of(aDecider);
-    ChoiceFacts facts;
+    ChainChoiceInput facts;
     facts.now = aNow;
     const Chain chain = planner.Choose(facts, this->random)->chain;
     planner.OnStart(chain);
--- a/PerformanceTests/RoutingBench.cpp
+++ b/PerformanceTests/RoutingBench.cpp
@@ -91,7 +91,7 @@
     planner.SetPlan(plan);
     planner.Loads().SetDaemons(kDeciders);
     Random random(3);
-    ChoiceFacts facts;
+    ChainChoiceInput facts;
     facts.now = Instant{1s};
     std::vector<Chain> held;
     const auto start = std::chrono::steady_clock::now();
--- a/SoakTests/Soak.h
+++ b/SoakTests/Soak.h
@@ -56,7 +56,7 @@
                    Micros aPatience = kCallerPatience,
                    const char* aPath = nullptr);
   void OnAnswer(const std::string& aId, RequestKind aKind, Daemon& aDaemon,
-                const Result<HttpAnswer>& aAnswer);
+                const Result<HttpResponse>& aAnswer);
   void Inject();
   void InjectAtDaemon(Daemon& aDaemon);
   void InjectAtUpstream(SoakUpstream& aUpstream);
--- a/SoakTests/SoakCaller.cpp
+++ b/SoakTests/SoakCaller.cpp
@@ -20,7 +20,7 @@
         done(std::move(aDone)) {}
 
   void Start(const TcpEndpoint& aDaemon, std::string aRequest,
-             std::optional<KeptConnections> aKept, Micros aPatience) {
+             std::optional<PooledConnections> aKept, Micros aPatience) {
     this->self = this->shared_from_this();
     this->timer.expires_after(aPatience);
     this->timer.async_wait([held = this->self](const asio::error_code& aError) {
@@ -33,12 +33,12 @@
                       std::move(aKept));
   }
 
-  void OnAnswerHead(HttpHead aHead) override {
+  void OnResponseHead(HttpHead aHead) override {
     this->answer.status = aHead.status;
     this->answer.headers = std::move(aHead.headers);
   }
 
-  void OnAnswerBody(std::string_view aPart) override {
+  void OnResponseBody(std::string_view aPart) override {
     this->answer.body.append(aPart);
   }
 
@@ -48,13 +48,13 @@
     } else {
       this->Finish(Fail(aEnd == SingleCallEnd::NotConnected
                             ? ErrorKind::UpstreamUnreachable
-                            : ErrorKind::AnswerIncomplete,
+                            : ErrorKind::ResponseIncomplete,
                         std::string(NameIn(kSingleCallEndNames, aEnd))));
     }
   }
 
  private:
-  void Finish(const Result<HttpAnswer>& aResult) {
+  void Finish(const Result<HttpResponse>& aResult) {
     const auto held = std::move(this->self);
     this->timer.cancel();
     if (held) {
@@ -66,14 +66,14 @@
   std::shared_ptr<SingleCall> call;
   SoakCaller::Done done;
   std::shared_ptr<Call> self;
-  HttpAnswer answer;
+  HttpResponse answer;
 };
 
 ConnectionPoolSettings PoolSettings() {
   ConnectionPoolSettings settings;
-  settings.longestRest = kLongestRest;
+  settings.maxIdleTime = kLongestRest;
   settings.keptShare = kKeptShare;
-  settings.distrustTime = 0s;
+  settings.quarantineTime = 0s;
   return settings;
 }
 
@@ -87,7 +87,7 @@
   const std::string name = aDaemon.address().to_string();
   std::make_shared<Call>(this->loop, std::move(aDone))
       ->Start(aDaemon, std::move(aRequest),
-              aKeeps ? std::optional(KeptConnections{&this->pool, name})
+              aKeeps ? std::optional(PooledConnections{&this->pool, name})
                      : std::nullopt,
               aPatience);
 }
--- a/SoakTests/SoakCaller.h
+++ b/SoakTests/SoakCaller.h
@@ -12,9 +12,9 @@
 class SoakCaller {
  public:
   /// Fails with `UpstreamUnreachable` where nothing was sent, else with
-  /// `AnswerIncomplete`: the connection broke; `DeadlineDuringRun`: no answer
+  /// `ResponseIncomplete`: the connection broke; `DeadlineDuringRun`: no answer
   /// in time.
-  using Done = std::function<void(const Result<HttpAnswer>&)>;
+  using Done = std::function<void(const Result<HttpResponse>&)>;
 
   SoakCaller(asio::io_context& aLoop, const Clock& aClock);
 
--- a/SoakTests/SoakRun.cpp
+++ b/SoakTests/SoakRun.cpp
@@ -288,17 +288,17 @@
       "Content-Length: 2\r\n\r\n{}";
   this->callers.Send(
       aDaemon.address, text, keeps, aPatience,
-      [this, id, aKind, &aDaemon](const Result<HttpAnswer>& aAnswer) {
+      [this, id, aKind, &aDaemon](const Result<HttpResponse>& aAnswer) {
         this->OnAnswer(id, aKind, aDaemon, aAnswer);
       });
   return id;
 }
 
 void Soak::OnAnswer(const std::string& aId, RequestKind aKind, Daemon& aDaemon,
-                    const Result<HttpAnswer>& aAnswer) {
+                    const Result<HttpResponse>& aAnswer) {
   constexpr std::array kNotRun{408, 421, 429, 503};
   if (!aAnswer) {
-    if (aAnswer.error().kind == ErrorKind::AnswerIncomplete) {
+    if (aAnswer.error().kind == ErrorKind::ResponseIncomplete) {
       this->ledger.Cut(aId);
     }
     return;  // Broken off or late: nothing was promised.
--- a/SoakTests/SoakStore.cpp
+++ b/SoakTests/SoakStore.cpp
@@ -79,7 +79,7 @@
   }
 }
 
-void SoakStore::OnCallerGone(CallerConnection& aConnection) {
+void SoakStore::OnCallerDisconnected(CallerConnection& aConnection) {
   std::erase_if(this->waits, [&](const Wait& aWait) {
     return aWait.connection.get() == &aConnection;
   });
--- a/SoakTests/SoakStore.h
+++ b/SoakTests/SoakStore.h
@@ -33,7 +33,7 @@
 
   void OnRequest(const std::shared_ptr<CallerConnection>& aConnection,
                  CallerMessage aMessage) override;
-  void OnCallerGone(CallerConnection& aConnection) override;
+  void OnCallerDisconnected(CallerConnection& aConnection) override;
 
  private:
   using Json = nlohmann::json;
--- a/SoakTests/SoakUpstream.cpp
+++ b/SoakTests/SoakUpstream.cpp
@@ -207,7 +207,7 @@
   }
 }
 
-void SoakUpstream::OnCallerGone(CallerConnection& aConnection) {
+void SoakUpstream::OnCallerDisconnected(CallerConnection& aConnection) {
   std::erase_if(this->streams, [&](const Stream& aStream) {
     return aStream.connection.get() == &aConnection;
   });
@@ -357,7 +357,7 @@
                          const std::string& aBody) {
   const Json body = Json::parse(aBody, nullptr, false);
   body.value("op", "") == "place" ? this->Place(aConnection, body)
-                                  : this->Repath(aConnection, body);
+                                  : this->Reroute(aConnection, body);
 }
 
 void SoakUpstream::Place(CallerConnection& aConnection, const Json& aBody) {
@@ -373,7 +373,7 @@
   aConnection.Answer(kTaken, this->WithLimit({}), "{}");
 }
 
-void SoakUpstream::Repath(CallerConnection& aConnection, const Json& aBody) {
+void SoakUpstream::Reroute(CallerConnection& aConnection, const Json& aBody) {
   const std::string path = aBody.value("path", "");
   const std::string missing = this->Missing(path);
   for (Stream& stream : this->streams) {
--- a/SoakTests/SoakUpstream.h
+++ b/SoakTests/SoakUpstream.h
@@ -67,7 +67,7 @@
 
   void OnRequest(const std::shared_ptr<CallerConnection>& aConnection,
                  CallerMessage aMessage) override;
-  void OnCallerGone(CallerConnection& aConnection) override;
+  void OnCallerDisconnected(CallerConnection& aConnection) override;
 
  private:
   struct Stream {
@@ -85,7 +85,7 @@
   void Report(CallerConnection& aConnection);
   void Order(CallerConnection& aConnection, const std::string& aBody);
   void Place(CallerConnection& aConnection, const nlohmann::json& aBody);
-  void Repath(CallerConnection& aConnection, const nlohmann::json& aBody);
+  void Reroute(CallerConnection& aConnection, const nlohmann::json& aBody);
   void Run(const std::shared_ptr<CallerConnection>& aConnection,
            const CallerMessage& aMessage);
   /// Whether the answer to a request that ran here is lost.
--- a/StandIns/EngineStandIn.cpp
+++ b/StandIns/EngineStandIn.cpp
@@ -55,7 +55,7 @@
 
 void EngineStandIn::Reply(ExchangeId aExchange, int aStatus,
                           const Json& aJson) {
-  HttpAnswer answer = JsonAnswer(aJson.dump());
+  HttpResponse answer = JsonResponse(aJson.dump());
   answer.status = aStatus;
   this->server.Http().Respond(aExchange, std::move(answer));
 }
--- a/StandIns/PlatformStandIn.cpp
+++ b/StandIns/PlatformStandIn.cpp
@@ -124,7 +124,7 @@
 
 void PlatformStandIn::Answer(ExchangeId aExchange, int aStatus,
                              std::string aJson) {
-  HttpAnswer answer = JsonAnswer(std::move(aJson));
+  HttpResponse answer = JsonResponse(std::move(aJson));
   answer.status = aStatus;
   const bool lost = this->random.Unit() < this->faults.loseAnswers;
   if (lost) {
--- a/StandIns/ServiceStandIn.cpp
+++ b/StandIns/ServiceStandIn.cpp
@@ -21,12 +21,12 @@
     return;
   }
   if (aRequest.path == "/v1/runs") {
-    HttpAnswer answer = JsonAnswer(Json(this->runs).dump());
+    HttpResponse answer = JsonResponse(Json(this->runs).dump());
     this->server.Http().Respond(aRequest.exchange, std::move(answer));
     return;
   }
   if (this->faults.outage) {
-    HttpAnswer answer = JsonAnswer("{}");
+    HttpResponse answer = JsonResponse("{}");
     answer.status = 503;
     this->server.Http().Respond(aRequest.exchange, std::move(answer));
     return;
@@ -47,7 +47,7 @@
         json.value("lose_answers", this->faults.loseAnswers);
     this->faults.outage = json.value("outage", this->faults.outage);
   }
-  this->server.Http().Respond(aRequest.exchange, JsonAnswer("{}"));
+  this->server.Http().Respond(aRequest.exchange, JsonResponse("{}"));
 }
 
 void ServiceStandIn::RunOrder(const HttpRequest& aRequest) {
@@ -59,7 +59,7 @@
     this->server.Http().Abort(aRequest.exchange);
     return;
   }
-  HttpAnswer answer = JsonAnswer(Json{
+  HttpResponse answer = JsonResponse(Json{
       {"service", this->name},
       {"path", aRequest.path},
       {"runs", count},
--- a/StandIns/StandInServer.cpp
+++ b/StandIns/StandInServer.cpp
@@ -58,7 +58,7 @@
              [this, request = std::move(aRequest)] { this->handler(request); });
 }
 
-void StandInServer::OnCallerGone(ExchangeId aExchange) {
+void StandInServer::OnCallerDisconnected(ExchangeId aExchange) {
   if (!this->goneHandler) {
     return;
   }
--- a/StandIns/StandInServer.h
+++ b/StandIns/StandInServer.h
@@ -34,7 +34,7 @@
 
  private:
   void OnRequest(HttpRequest aRequest) override;
-  void OnCallerGone(ExchangeId aExchange) override;
+  void OnCallerDisconnected(ExchangeId aExchange) override;
 
   asio::io_context loop;
   asio::executor_work_guard<asio::io_context::executor_type> work;
--- a/UnitTests/AdmissionTest.cpp
+++ b/UnitTests/AdmissionTest.cpp
@@ -50,7 +50,8 @@
     CPPUNIT_ASSERT(!second.has_value());
     CPPUNIT_ASSERT(second.error().kind == ErrorKind::Overloaded);
     CPPUNIT_ASSERT(second.error().RetryAfter() >= 200ms);
-    CPPUNIT_ASSERT(AnswerFor(second.error().kind).outcome == Outcome::NotRun);
+    CPPUNIT_ASSERT(ErrorInfoFor(second.error().kind).outcome ==
+                   Outcome::NotRun);
   }
 
   void Peek_TwoOrganisations_ServesTheLessServed() {
@@ -95,9 +96,9 @@
   void Expired_Request_IsGivenBackOnce() {
     CPPUNIT_ASSERT(this->Offer(1, "a"));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1},
-                         this->queue.TakeExpired(this->now + 60s).size());
+                         this->queue.PopExpired(this->now + 60s).size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{0},
-                         this->queue.TakeExpired(this->now + 60s).size());
+                         this->queue.PopExpired(this->now + 60s).size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->queue.Waiting());
   }
 
@@ -138,7 +139,7 @@
         sum += share;
         RetryBudgetSettings settings;
         settings.most = share;
-        able += RetryBudget(settings).TakeRetry(0.5) ? 1 : 0;
+        able += RetryBudget(settings).TryAcquireRetry(0.5) ? 1 : 0;
       }
       CPPUNIT_ASSERT(sum <= kSlack);
       CPPUNIT_ASSERT(able >= std::min<std::size_t>(daemons, 832));
@@ -150,7 +151,7 @@
     int retries = 0;
     for (int i = 0; i < 1000; ++i) {
       budget.OnRequest();
-      while (budget.TakeRetry()) {
+      while (budget.TryAcquireRetry()) {
         retries += 1;
       }
     }
--- a/UnitTests/AgreementTest.cpp
+++ b/UnitTests/AgreementTest.cpp
@@ -91,9 +91,9 @@
     CPPUNIT_ASSERT(won == ClaimVerdict::Won);
     CPPUNIT_ASSERT(!right.OnVote(witnesses[1],
                                  {ClaimVote::Kind::Granted, other}, this->now));
-    const auto lost =
-        right.OnVote(witnesses[0], {ClaimVote::Kind::Held, one}, this->now);
-    CPPUNIT_ASSERT(lost == ClaimVerdict::Held);
+    const auto lost = right.OnVote(
+        witnesses[0], {ClaimVote::Kind::HeldByOther, one}, this->now);
+    CPPUNIT_ASSERT(lost == ClaimVerdict::HeldByOther);
   }
 
   void Witness_OnePromiseEach_GrantsNeitherAfterHandOver() {
@@ -107,9 +107,10 @@
     (void)stopping.Ask(one, this->now);
     (void)successor.Ask(other, this->now);
     successor.Adopt(stopping.Close(), this->now);
-    CPPUNIT_ASSERT(successor.Ask(one, this->now).kind == ClaimVote::Kind::Held);
+    CPPUNIT_ASSERT(successor.Ask(one, this->now).kind ==
+                   ClaimVote::Kind::HeldByOther);
     CPPUNIT_ASSERT(successor.Ask(other, this->now).kind ==
-                   ClaimVote::Kind::Held);
+                   ClaimVote::Kind::HeldByOther);
     CPPUNIT_ASSERT(stopping.Ask(one, this->now).kind ==
                    ClaimVote::Kind::Closed);
   }
@@ -128,10 +129,11 @@
     CPPUNIT_ASSERT(granted > 5 && granted < 20);
     claim.key = "key0";
     claim.claimant = {"b", 2};
-    CPPUNIT_ASSERT(table.Ask(claim, this->now).kind == ClaimVote::Kind::Held);
+    CPPUNIT_ASSERT(table.Ask(claim, this->now).kind ==
+                   ClaimVote::Kind::HeldByOther);
     // After the memory of keys there is room again.
     claim.key = "key99";
-    CPPUNIT_ASSERT(table.Ask(claim, this->now + kKeyMemory).kind ==
+    CPPUNIT_ASSERT(table.Ask(claim, this->now + kKeyRetention).kind ==
                    ClaimVote::Kind::Granted);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.Size());
   }
@@ -139,8 +141,8 @@
   void Lease_PausedHolder_MayNotAct() {
     LeaseGuard guard({9s, 3s});
     guard.OnTaken(7, this->now);
-    CPPUNIT_ASSERT(guard.MayAct(this->now + 5s));
-    CPPUNIT_ASSERT(!guard.MayAct(this->now + 6s));
+    CPPUNIT_ASSERT(guard.MayIssueOrders(this->now + 5s));
+    CPPUNIT_ASSERT(!guard.MayIssueOrders(this->now + 6s));
     CPPUNIT_ASSERT(!guard.IsHeld(this->now + 9s));
   }
 
@@ -153,7 +155,7 @@
   }
 
   void Roster_Leaving_IsSticky() {
-    UpstreamRoster roster;
+    LeavingUpstreams roster;
     VmEntry vm;
     vm.name = "u1";
     vm.role = VmRole::Upstream;
@@ -187,7 +189,7 @@
         gossip.member = gossip.vm + "/x";
         table.OnGossip(gossip, this->now);
       }
-      holders.insert(table.DutyHolder("reader", this->now));
+      holders.insert(table.OwnerOf("reader", this->now));
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, holders.size());
   }
--- a/UnitTests/BlockListTest.cpp
+++ b/UnitTests/BlockListTest.cpp
@@ -55,7 +55,7 @@
     explicit Daemon(AsyncStore& aStore, const Clock& aClock)
         : list("own/", aStore, ledger, aClock), clock(aClock) {}
 
-    CrashLedger ledger{CrashLedgerSettings{}};
+    CrashTracker ledger{CrashTrackerSettings{}};
     BlockList list;
     const Clock& clock;
 
--- a/UnitTests/CallLimitReplayTest.cpp
+++ b/UnitTests/CallLimitReplayTest.cpp
@@ -80,7 +80,7 @@
     daemon.limits = std::make_unique<CallLimits>(
         settings, this->clock, this->metrics,
         [this, aDaemon](const std::vector<LimitNotice>& aNotices) {
-          this->TellAll(aDaemon, aNotices);
+          this->Broadcast(aDaemon, aNotices);
         });
     std::map<std::string, std::string> others;
     for (std::size_t i = 0; i < this->daemons.size(); ++i) {
@@ -110,7 +110,7 @@
         this->random.Below(static_cast<std::size_t>(kLongestLag.count())))};
   }
 
-  void TellAll(std::size_t aFrom, const std::vector<LimitNotice>& aNotices) {
+  void Broadcast(std::size_t aFrom, const std::vector<LimitNotice>& aNotices) {
     for (std::size_t to = 0; to < this->daemons.size(); ++to) {
       for (const LimitNotice& notice : aNotices) {
         if (to != aFrom && this->random.Unit() >= kLostWords) {
@@ -280,10 +280,10 @@
     for (Daemon& daemon : this->daemons) {
       daemon.isDown = true;
     }
-    upstream->SetGone(this->clock.Now());
+    upstream->SetDeregistered(this->clock.Now());
     this->clock.Pass(1min);
     this->daemons.back().limits->Tick();
-    upstream->SetBack();
+    upstream->SetReregistered();
     CPPUNIT_ASSERT(upstream->MayCall(this->clock.Now()));
   }
 };
--- a/UnitTests/ChainChooserTest.cpp
+++ b/UnitTests/ChainChooserTest.cpp
@@ -226,7 +226,7 @@
     PoolChain chain{{upstreams[0], {0, 30}},
                     {upstreams[1], {30, 55}},
                     {upstreams[2], {55, 80}}};
-    upstreams[1]->SetGone(now);
+    upstreams[1]->SetDeregistered(now);
     upstreams.erase(upstreams.begin() + 1);
     CPPUNIT_ASSERT(
         !chooser.Repair(model, upstreams, chain, {}, 900, now, random));
--- a/UnitTests/ClusterViewTest.cpp
+++ b/UnitTests/ClusterViewTest.cpp
@@ -71,7 +71,7 @@
     view.OnConfiguration({"", R"({"configVersion":10,"routes":[{}]})", 30});
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{9},
                          view.Table()->Configuration().version);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{20}, view.ConfigFoundAt().number);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{20}, view.ConfigStoreRevision().number);
   }
 
   // tavua-orders-grown, trouble-3: each change of the configuration had up to
@@ -79,58 +79,58 @@
   // nothing newer than either configuration was there.
   void Configuration_Newer_KeepsTheAgeOfTheProof() {
     view.OnConfiguration({"", ConfigText(9), 20});
-    view.OnProof({20}, clock.Now());
+    view.OnValidated({20}, clock.Now());
     clock.Advance(600ms);
     view.OnConfiguration({"", ConfigText(10), 30});
-    CPPUNIT_ASSERT(*view.ProofAge() == 600ms);
+    CPPUNIT_ASSERT(*view.ValidationAge() == 600ms);
   }
 
   // The newer one may have withdrawn a key that this one still grants.
   void Proof_OfANewerRevision_CountsNothing() {
     view.OnConfiguration({"", ConfigText(9), 20});
-    view.OnProof({21}, clock.Now());
-    CPPUNIT_ASSERT(!view.ProofAge());
-    view.OnProof({0}, clock.Now());
-    CPPUNIT_ASSERT(!view.ProofAge());
+    view.OnValidated({21}, clock.Now());
+    CPPUNIT_ASSERT(!view.ValidationAge());
+    view.OnValidated({0}, clock.Now());
+    CPPUNIT_ASSERT(!view.ValidationAge());
   }
 
   void Proof_OfAnOlderRevision_CountsFromItsTime() {
     view.OnConfiguration({"", ConfigText(9), 20});
     const Instant began = clock.Now();
     clock.Advance(900ms);
-    view.OnProof({19}, began);
-    CPPUNIT_ASSERT(*view.ProofAge() == 900ms);
-    view.OnProof({20}, clock.Now());
-    view.OnProof({19}, began);
-    CPPUNIT_ASSERT(*view.ProofAge() == 0ms);
+    view.OnValidated({19}, began);
+    CPPUNIT_ASSERT(*view.ValidationAge() == 900ms);
+    view.OnValidated({20}, clock.Now());
+    view.OnValidated({19}, began);
+    CPPUNIT_ASSERT(*view.ValidationAge() == 0ms);
   }
 
   void Proof_CountsFromWhenTheCallBegan() {
     view.OnConfiguration({"", ConfigText(9), 20});
     const Instant began = clock.Now();
     clock.Advance(700ms);
-    view.OnProof({20}, began);
-    CPPUNIT_ASSERT(*view.ProofAge() == 700ms);
-    view.OnProof({20}, began - 1s);
-    CPPUNIT_ASSERT(*view.ProofAge() == 700ms);
+    view.OnValidated({20}, began);
+    CPPUNIT_ASSERT(*view.ValidationAge() == 700ms);
+    view.OnValidated({20}, began - 1s);
+    CPPUNIT_ASSERT(*view.ValidationAge() == 700ms);
   }
 
   void Copy_ProofOfAPeer_CountsFromTheQuestion() {
     view.OnConfiguration({"", ConfigText(9), 20});
     const Instant asked = clock.Now();
     clock.Advance(3s);
-    ClusterCopy copy;
+    ClusterUpdate copy;
     copy.configRevision = {20};
-    copy.proofAge = 500ms;
-    view.OnCopy(copy, asked);
-    CPPUNIT_ASSERT(*view.ProofAge() == 3500ms);
+    copy.validationAge = 500ms;
+    view.OnUpdate(copy, asked);
+    CPPUNIT_ASSERT(*view.ValidationAge() == 3500ms);
   }
 
   void Copy_OlderUpstreams_ArePassedOver() {
     view.OnUpstreams({{{"i1", EntryText("ready"), 5}}, 50});
-    ClusterCopy copy;
+    ClusterUpdate copy;
     copy.upstreams.emplace().at = {40};
-    view.OnCopy(copy, clock.Now());
+    view.OnUpdate(copy, clock.Now());
     CPPUNIT_ASSERT(view.Directory().Find("i1") != nullptr);
   }
 
@@ -140,7 +140,7 @@
     view.OnUpstreams({{{"i1", EntryText("ready"), 5}}, 50});
     ClusterView newer{*decoder, *this, clock};
     newer.OnUpstreams({{{"i1", EntryText("ready"), 5}}, 60});
-    view.OnCopy(newer.CopyFor({{}, {60}, {}, 0}), clock.Now());
+    view.OnUpdate(newer.UpdateFor({{}, {60}, {}, 0}), clock.Now());
     CPPUNIT_ASSERT(view.Directory().Find("i1") != nullptr);
   }
 
@@ -155,10 +155,10 @@
     newer.OnUpstreamEvents(
         {{{{"i2", "", 55}, true}, {{"i3", EntryText("ready"), 58}, false}},
          60});
-    const ClusterCopy copy = newer.CopyFor(view.Revisions());
+    const ClusterUpdate copy = newer.UpdateFor(view.Revisions());
     CPPUNIT_ASSERT(!copy.upstreams->isWhole);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, copy.upstreams->items.size());
-    view.OnCopy(copy, clock.Now());
+    view.OnUpdate(copy, clock.Now());
     CPPUNIT_ASSERT(view.Directory().Find("i1")->IsUsable(clock.Now()));
     CPPUNIT_ASSERT(view.Directory().Find("i2") == nullptr);
     CPPUNIT_ASSERT(view.Directory().Find("i3") != nullptr);
@@ -167,19 +167,19 @@
     // of the last whole read, whole to a newcomer.
     CPPUNIT_ASSERT_EQUAL(
         std::size_t{1},
-        view.CopyFor({{}, {50}, {}, 0}).upstreams->removed.size());
+        view.UpdateFor({{}, {50}, {}, 0}).upstreams->removed.size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{2},
-                         view.CopyFor({}).upstreams->items.size());
+                         view.UpdateFor({}).upstreams->items.size());
   }
 
   // What came and went before a whole read is not known here, and may be known
   // to the asker.
   void Copy_FromBeforeAWholeRead_IsWhole() {
     view.OnUpstreams({{{"i1", EntryText("ready"), 5}}, 50});
-    CPPUNIT_ASSERT(view.CopyFor({{}, {40}, {}, 0}).upstreams->isWhole);
+    CPPUNIT_ASSERT(view.UpdateFor({{}, {40}, {}, 0}).upstreams->isWhole);
     ClusterView asker{*decoder, *this, clock};
     asker.OnUpstreams({{{"i9", EntryText("ready"), 39}}, 40});
-    asker.OnCopy(view.CopyFor(asker.Revisions()), clock.Now());
+    asker.OnUpdate(view.UpdateFor(asker.Revisions()), clock.Now());
     CPPUNIT_ASSERT(asker.Directory().Find("i9") == nullptr);
     CPPUNIT_ASSERT(asker.Directory().Find("i1") != nullptr);
   }
@@ -190,12 +190,12 @@
   void Copy_FromAnOutage_TellsTheListAsItIs() {
     view.OnUpstreams(
         {{{"i1", EntryText("ready"), 5}, {"i2", EntryText("ready"), 6}}, 50});
-    view.OnStoreReached(false);
-    view.OnStoreReached(true);
+    view.OnStoreReachable(false);
+    view.OnStoreReachable(true);
     view.OnUpstreams({{{"i2", EntryText("ready"), 6}}, 60});
     CPPUNIT_ASSERT(view.Directory().Find("i1") != nullptr);
     ClusterView newcomer{*decoder, *this, clock};
-    newcomer.OnCopy(view.CopyFor({}), clock.Now());
+    newcomer.OnUpdate(view.UpdateFor({}), clock.Now());
     CPPUNIT_ASSERT(newcomer.Directory().Find("i1") == nullptr);
     CPPUNIT_ASSERT(newcomer.Directory().Find("i2") != nullptr);
   }
@@ -205,12 +205,12 @@
   void Copy_OfALapsedEntry_HasTheTellersGrace() {
     view.OnUpstreams({{{"i1", EntryText("ready"), 5}}, 50});
     ClusterView asker{*decoder, *this, clock};
-    asker.OnCopy(view.CopyFor({}), clock.Now());
-    view.OnStoreReached(false);
-    view.OnStoreReached(true);
+    asker.OnUpdate(view.UpdateFor({}), clock.Now());
+    view.OnStoreReachable(false);
+    view.OnStoreReachable(true);
     view.OnUpstreamEvents({{{{"i1", "", 60}, true}}, 60});
     clock.Advance(1s);
-    asker.OnCopy(view.CopyFor(asker.Revisions()), clock.Now());
+    asker.OnUpdate(view.UpdateFor(asker.Revisions()), clock.Now());
     CPPUNIT_ASSERT(asker.Directory().Find("i1") != nullptr);
     clock.Advance(1300ms);
     asker.Tick();
@@ -224,10 +224,10 @@
     asker.OnUpstreams(
         {{{"i1", EntryText("ready"), 5}, {"i2", EntryText("ready"), 7}}, 55});
     view.OnUpstreamEvents({{{{"i3", EntryText("ready"), 58}, false}}, 60});
-    asker.OnCopy(view.CopyFor(asker.Revisions()), clock.Now());
+    asker.OnUpdate(view.UpdateFor(asker.Revisions()), clock.Now());
     CPPUNIT_ASSERT(asker.Directory().Find("i2") != nullptr);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, asker.Revisions().upstreams.number);
-    asker.OnCopy(view.CopyFor(asker.Revisions()), clock.Now());
+    asker.OnUpdate(view.UpdateFor(asker.Revisions()), clock.Now());
     CPPUNIT_ASSERT(asker.Directory().Find("i2") == nullptr);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{60}, asker.Revisions().upstreams.number);
   }
@@ -235,9 +235,9 @@
   void Copy_OfDaemons_TellsRemovals() {
     view.OnDaemons({{{"members/a", "{}", 5}, {"members/b", "{}", 6}}, 50});
     ClusterView asker{*decoder, *this, clock};
-    asker.OnCopy(view.CopyFor({}), clock.Now());
+    asker.OnUpdate(view.UpdateFor({}), clock.Now());
     view.OnDaemonEvents({{{{"members/a", "", 60}, true}}, 60});
-    asker.OnCopy(view.CopyFor(asker.Revisions()), clock.Now());
+    asker.OnUpdate(view.UpdateFor(asker.Revisions()), clock.Now());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, asker.Daemons().Items().size());
     CPPUNIT_ASSERT_EQUAL(std::string(), asker.Daemons().ValueOf("members/a"));
   }
@@ -247,33 +247,33 @@
   // upstreams for fresh, and sent to one 3.2 s after it had begun to drain.
   void Copy_ProofOfConfiguration_ProvesNoLists() {
     view.OnConfiguration({"", ConfigText(9), 20});
-    view.OnListsProven(clock.Now());
+    view.OnListsValidated(clock.Now());
     clock.Advance(3s);
-    ClusterCopy copy;
+    ClusterUpdate copy;
     copy.configRevision = {20};
-    copy.proofAge = 100ms;
-    view.OnCopy(copy, clock.Now());
-    CPPUNIT_ASSERT(*view.ProofAge() == 100ms);
+    copy.validationAge = 100ms;
+    view.OnUpdate(copy, clock.Now());
+    CPPUNIT_ASSERT(*view.ValidationAge() == 100ms);
     CPPUNIT_ASSERT(*view.ListsAge() == 3s);
   }
 
   void Copy_ProofOfLists_CountsFromTheQuestion() {
     const Instant asked = clock.Now();
     clock.Advance(200ms);
-    ClusterCopy copy;
+    ClusterUpdate copy;
     copy.listsAge = 500ms;
-    view.OnCopy(copy, asked);
+    view.OnUpdate(copy, asked);
     CPPUNIT_ASSERT(*view.ListsAge() == 700ms);
     copy.listsAge = 5s;
-    view.OnCopy(copy, clock.Now());
+    view.OnUpdate(copy, clock.Now());
     CPPUNIT_ASSERT(*view.ListsAge() == 700ms);
   }
 
   void Daemons_OlderList_IsPassedOver() {
     view.OnDaemons({{{"members/a", "{}", 5}}, 50});
-    ClusterCopy copy;
+    ClusterUpdate copy;
     copy.daemons.emplace().at = {40};
-    view.OnCopy(copy, clock.Now());
+    view.OnUpdate(copy, clock.Now());
     CPPUNIT_ASSERT_EQUAL(std::string("{}"),
                          view.Daemons().ValueOf("members/a"));
     CPPUNIT_ASSERT_EQUAL(1, daemonChanges);
@@ -304,9 +304,9 @@
 
   void Upstream_MissingAfterAnOutage_HasAGrace() {
     view.OnUpstreams({{{"i1", EntryText("ready"), 5}}, 50});
-    view.OnStoreReached(false);
+    view.OnStoreReachable(false);
     clock.Advance(5s);
-    view.OnStoreReached(true);
+    view.OnStoreReachable(true);
     view.OnUpstreams({{}, 60});
     CPPUNIT_ASSERT(view.Directory().Find("i1") != nullptr);
     clock.Advance(3s);
@@ -319,14 +319,14 @@
   // own domain for two seconds.
   void Upstream_MissingFromAPeerInAnOutage_HasAGrace() {
     view.OnUpstreams({{{"i1", EntryText("ready"), 5}}, 50});
-    view.OnStoreReached(false);
+    view.OnStoreReachable(false);
     clock.Advance(5s);
-    ClusterCopy copy;
+    ClusterUpdate copy;
     copy.upstreams.emplace().at = {60};
-    view.OnCopy(copy, clock.Now());
+    view.OnUpdate(copy, clock.Now());
     CPPUNIT_ASSERT(view.Directory().Find("i1") != nullptr);
     clock.Advance(400ms);
-    view.OnStoreReached(true);
+    view.OnStoreReachable(true);
     view.OnUpstreams({{}, 70});
     clock.Advance(1700ms);
     view.Tick();
@@ -344,12 +344,12 @@
                        {"i2", EntryText("ready"), 6},
                        {"i3", EntryText("ready"), 7}},
                       50});
-    view.OnStoreReached(false);
-    ClusterCopy copy;
+    view.OnStoreReachable(false);
+    ClusterUpdate copy;
     copy.upstreams.emplace().at = {60};
     copy.upstreams->isWhole = false;
     copy.upstreams->removed = {"i2"};
-    view.OnCopy(copy, clock.Now());
+    view.OnUpdate(copy, clock.Now());
     CPPUNIT_ASSERT(view.Directory().Find("i2") == nullptr);
     CPPUNIT_ASSERT(view.Directory().Find("i1") != nullptr);
   }
@@ -360,7 +360,7 @@
     view.OnUpstreams({{{"i1", EntryText("ready"), 5}}, 50});
     const UpstreamPtr upstream = view.Directory().Find("i1");
     view.OnUpstreams({{}, 60});
-    CPPUNIT_ASSERT(upstream->IsGone());
+    CPPUNIT_ASSERT(upstream->IsDeregistered());
     view.OnUpstreams({{{"i1", EntryText("ready"), 70}}, 80});
     CPPUNIT_ASSERT(view.Directory().Find("i1") == upstream);
     CPPUNIT_ASSERT(upstream->IsUsable(clock.Now()));
--- a/UnitTests/ConfigurationParserTest.cpp
+++ b/UnitTests/ConfigurationParserTest.cpp
@@ -38,7 +38,7 @@
   static bool HasFault(const ParsedConfiguration& aParsed,
                        const std::string& aPath, int aLine) {
     return std::any_of(aParsed.faults.begin(), aParsed.faults.end(),
-                       [&](const ConfigurationFault& aFault) {
+                       [&](const ConfigurationError& aFault) {
                          return aFault.path == aPath && aFault.line == aLine;
                        });
   }
--- a/UnitTests/ConnectionPoolTest.cpp
+++ b/UnitTests/ConnectionPoolTest.cpp
@@ -105,14 +105,14 @@
     });
   }
 
-  Result<HttpAnswer> Call(const std::string& aUpstream, bool aKept = true,
-                          Micros aTimeout = 150ms) {
-    std::optional<Result<HttpAnswer>> result;
-    FetchWhole(
+  Result<HttpResponse> Call(const std::string& aUpstream, bool aKept = true,
+                            Micros aTimeout = 150ms) {
+    std::optional<Result<HttpResponse>> result;
+    FetchResponse(
         loop, acceptor.local_endpoint(),
         "GET /report HTTP/1.1\r\nHost: h\r\n\r\n", aTimeout,
-        [&](Result<HttpAnswer> aAnswer) { result = std::move(aAnswer); },
-        aKept ? std::optional(KeptConnections{&pool, aUpstream})
+        [&](Result<HttpResponse> aAnswer) { result = std::move(aAnswer); },
+        aKept ? std::optional(PooledConnections{&pool, aUpstream})
               : std::nullopt);
     while (!result) {
       loop.run_one();
@@ -169,7 +169,7 @@
     CPPUNIT_ASSERT(this->Call("i1").has_value());
     CPPUNIT_ASSERT(this->Call("i1").has_value());
     CPPUNIT_ASSERT_EQUAL(4, connections);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, pool.Resting());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, pool.IdleCount());
   }
 
   void Call_AnsweredSlowlyOnAKeptConnection_HasItsWholeTime() {
@@ -200,7 +200,8 @@
     for (std::size_t i = 0; i < 20; ++i) {
       pool.Put("i1", TcpSocket(loop), head);
     }
-    CPPUNIT_ASSERT_EQUAL(ConnectionPoolSettings{}.mostResting, pool.Resting());
+    CPPUNIT_ASSERT_EQUAL(ConnectionPoolSettings{}.maxIdleConnections,
+                         pool.IdleCount());
   }
 };
 
--- a/UnitTests/CrashWatchHistoryTest.cpp
+++ b/UnitTests/CrashDetectorHistoryTest.cpp
@@ -7,7 +7,7 @@
 #include <set>
 
 #include "Zincstep/Core/Random.h"
-#include "Zincstep/Relay/CrashWatch.h"
+#include "Zincstep/Relay/CrashDetector.h"
 
 namespace zincstep {
 namespace {
@@ -15,7 +15,7 @@
 /// What is true of an upstream, and how its address behaves.
 enum class Truth {
   /// Reports, or holds connections where it gives no reports.
-  Lives,
+  Alive,
   /// It has ended, and its port is closed.
   Refuses,
   /// It has ended behind a proxy that accepts, and closes on a request.
@@ -34,8 +34,8 @@
   TruthfulControl(const FakeClock& aClock, Random& aRandom)
       : clock(aClock), random(aRandom) {}
 
-  void Reach(const UpstreamEntry& aUpstream, Micros aTimeout,
-             std::function<void(Reachability)> aDone) override {
+  void ProbeConnection(const UpstreamEntry& aUpstream, Micros aTimeout,
+                       std::function<void(Reachability)> aDone) override {
     const Reachability reachability = this->ReachabilityOf(aUpstream);
     const bool isSlow = reachability == Reachability::Silent ||
                         reachability == Reachability::Reached;
@@ -52,7 +52,7 @@
     if (now == Truth::Refuses) {
       report = Fail(ErrorKind::UpstreamUnreachable, "");
     } else if (now == Truth::Dropped) {
-      report = Fail(ErrorKind::AnswerIncomplete, "");
+      report = Fail(ErrorKind::ResponseIncomplete, "");
     } else if (now == Truth::Succeeded) {
       report = Fail(ErrorKind::UpstreamEnded, "");
     } else if (now == Truth::Dark || this->random.Below(4) == 0) {
@@ -65,8 +65,8 @@
 
   void Place(const UpstreamEntry&, LayerRange, std::uint64_t, GiveUp,
              Done<OrderOutcome>) override {}
-  void Repath(const std::string&, const PoolChain&,
-              Done<OrderOutcome>) override {}
+  void Reroute(const std::string&, const PoolChain&,
+               Done<OrderOutcome>) override {}
 
   /// Gives the answers that are due.
   void Run() {
@@ -111,9 +111,9 @@
   std::multimap<Instant, std::function<void()>> open;
 };
 
-class CrashWatchHistoryTest : public CppUnit::TestFixture,
-                              private CrashListener {
-  CPPUNIT_TEST_SUITE(CrashWatchHistoryTest);
+class CrashDetectorHistoryTest : public CppUnit::TestFixture,
+                                 private CrashListener {
+  CPPUNIT_TEST_SUITE(CrashDetectorHistoryTest);
   CPPUNIT_TEST(Histories_AnySeed_BlameEndsAndNobodyElse);
   CPPUNIT_TEST_SUITE_END();
 
@@ -137,8 +137,8 @@
     Random random;
     FakeClock clock;
     TruthfulControl control;
-    CrashLedger ledger{CrashLedgerSettings{}};
-    CrashWatch watch;
+    CrashTracker ledger{CrashTrackerSettings{}};
+    CrashDetector watch;
     std::vector<UpstreamPtr> upstreams;
     /// All incarnations that there were, by number.
     std::map<std::uint64_t, UpstreamPtr> all;
@@ -168,7 +168,7 @@
   }
   void OnCleared(RequestFingerprint) override {}
   void OnBlocked(RequestFingerprint) override {}
-  void OnCrashSuspicion() override {}
+  void OnUpstreamSuspected() override {}
 
   /// The next start of an upstream; half of them are of a plain service.
   static UpstreamPtr MakeUpstream(History& aHistory, std::size_t aPlace,
@@ -176,8 +176,8 @@
     UpstreamEntry entry;
     entry.id = std::to_string(aPlace) + "-" + std::to_string(aBorn);
     entry.kind = aPlace % 2 == 0 ? "k" : "";
-    entry.born = aBorn;
-    aHistory.control.truths[entry.id] = Truth::Lives;
+    entry.startTimeMs = aBorn;
+    aHistory.control.truths[entry.id] = Truth::Alive;
     const auto upstream = std::make_shared<LiveUpstream>(entry);
     aHistory.all[upstream->Number()] = upstream;
     return upstream;
@@ -189,7 +189,7 @@
     std::erase_if(aHistory.leaving, [&](const auto& aOne) {
       const bool isDue = aOne.second <= aHistory.clock.Now();
       if (isDue) {
-        aOne.first->SetGone(aHistory.clock.Now());
+        aOne.first->SetDeregistered(aHistory.clock.Now());
       }
       return isDue;
     });
@@ -206,17 +206,17 @@
       return;
     }
     Truth& truth = aHistory.control.truths[upstream->Entry().id];
-    if (truth == Truth::Lives && aHistory.random.Below(3) == 0) {
+    if (truth == Truth::Alive && aHistory.random.Below(3) == 0) {
       truth = static_cast<Truth>(1 + aHistory.random.Below(kTruths - 1));
       aHistory.leaving.push_back(
           {upstream, aHistory.clock.Now() + aHistory.UpTo(kGoneWithin)});
     }
-    if (truth != Truth::Lives) {
+    if (truth != Truth::Alive) {
       aHistory.ended.insert({request, upstream->Number()});
     }
     aHistory.lost.insert({request, upstream->Number()});
     aHistory.watch.OnRunLost(request, upstream);
-    if (truth != Truth::Lives && aHistory.random.Below(2) == 0) {
+    if (truth != Truth::Alive && aHistory.random.Below(2) == 0) {
       // The list tells of a next start.
       upstream->SetEnded(aHistory.clock.Now());
       upstream = MakeUpstream(aHistory, place, aStep);
@@ -248,7 +248,7 @@
     for (const auto& run : found) {
       // One that broke off just before an end may be blamed for it, too.
       CPPUNIT_ASSERT(aHistory.lost.contains(run));
-      CPPUNIT_ASSERT(aHistory.TruthOf(run.second) != Truth::Lives);
+      CPPUNIT_ASSERT(aHistory.TruthOf(run.second) != Truth::Alive);
     }
     for (std::size_t i = 0; i < kRequests; ++i) {
       const RequestFingerprint request{1 + i};
@@ -278,7 +278,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(CrashWatchHistoryTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(CrashDetectorHistoryTest);
 
 }  // namespace
 }  // namespace zincstep
--- a/UnitTests/CrashWatchTest.cpp
+++ b/UnitTests/CrashDetectorTest.cpp
@@ -1,7 +1,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "UnitTests/ScriptedControl.h"
-#include "Zincstep/Relay/CrashWatch.h"
+#include "Zincstep/Relay/CrashDetector.h"
 
 namespace zincstep {
 namespace {
@@ -10,8 +10,8 @@
 constexpr RequestFingerprint kOther{2};
 
 /// The watch with attempts to connect that the test ends.
-class CrashWatchTest : public CppUnit::TestFixture, private CrashListener {
-  CPPUNIT_TEST_SUITE(CrashWatchTest);
+class CrashDetectorTest : public CppUnit::TestFixture, private CrashListener {
+  CPPUNIT_TEST_SUITE(CrashDetectorTest);
   CPPUNIT_TEST(Loss_UpstreamRefuses_IsItsEnd);
   CPPUNIT_TEST(Loss_UpstreamAccepts_ProvesNothing);
   CPPUNIT_TEST(Loss_SilentOnce_IsAskedAgain);
@@ -56,12 +56,12 @@
   }
   void OnCleared(RequestFingerprint) override { cleared += 1; }
   void OnBlocked(RequestFingerprint) override { blocked += 1; }
-  void OnCrashSuspicion() override { suspicions += 1; }
+  void OnUpstreamSuspected() override { suspicions += 1; }
 
   FakeClock clock;
   ScriptedControl control;
-  CrashLedger ledger{CrashLedgerSettings{}};
-  CrashWatch watch{ledger, control, clock, *this};
+  CrashTracker ledger{CrashTrackerSettings{}};
+  CrashDetector watch{ledger, control, clock, *this};
   UpstreamPtr upstream = MakeUpstream("i1");
   /// Holds layers, and gives reports.
   UpstreamPtr member = MakeUpstream("m1", "h100");
@@ -94,7 +94,7 @@
     control.EndReach(Reachability::Refused);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, found.size());
     CPPUNIT_ASSERT_EQUAL(upstream->Number(), found[0].upstream);
-    CPPUNIT_ASSERT(ledger.IsBlamed(kGuilty));
+    CPPUNIT_ASSERT(ledger.HasCrashes(kGuilty));
     CPPUNIT_ASSERT(upstream->IsSuspect(clock.Now()));
     CPPUNIT_ASSERT_EQUAL(1, suspicions);
     for (const char* id : {"i2", "i3"}) {
@@ -135,7 +135,7 @@
     CPPUNIT_ASSERT(ledger.IsEmpty());
     control.FailReport(ErrorKind::UpstreamUnreachable);
     control.EndReach(Reachability::Refused);
-    CPPUNIT_ASSERT(ledger.IsBlamed(kGuilty) && !ledger.IsBlamed(kOther));
+    CPPUNIT_ASSERT(ledger.HasCrashes(kGuilty) && !ledger.HasCrashes(kOther));
   }
 
   void Loss_WhileNothingIsKnown_IsOfTheSameQuestion() {
@@ -146,11 +146,11 @@
     CPPUNIT_ASSERT(ledger.IsEmpty());
     this->Pass(kPause);
     control.EndReach(Reachability::Refused);
-    CPPUNIT_ASSERT(ledger.IsBlamed(kGuilty) && ledger.IsBlamed(kOther));
+    CPPUNIT_ASSERT(ledger.HasCrashes(kGuilty) && ledger.HasCrashes(kOther));
   }
 
   void Answer_OfABlamedRequest_IsToldOnce() {
-    watch.Take({kGuilty, 1}, Evidence::Told);
+    watch.Take({kGuilty, 1}, Provenance::Told);
     watch.OnAnswered(kOther);
     CPPUNIT_ASSERT_EQUAL(0, cleared);
     watch.OnAnswered(kGuilty);
@@ -165,18 +165,18 @@
     CPPUNIT_ASSERT(found.empty() && ledger.IsEmpty());
     // The upstream has ended all the same.
     CPPUNIT_ASSERT(upstream->IsSuspect(clock.Now()));
-    CPPUNIT_ASSERT(watch.Take({kOther, 2}, Evidence::Told) ==
-                   CrashVerdict::Innocent);
+    CPPUNIT_ASSERT(watch.Take({kOther, 2}, Provenance::Told) ==
+                   CrashVerdict::Ignored);
   }
 
   void Cleared_ElsewhereAndBlamedHere_IsToldOn() {
     watch.OnRunLost(kOther, upstream);
     control.EndReach(Reachability::Refused);
-    CPPUNIT_ASSERT(watch.TakeCleared(kOther));
-    CPPUNIT_ASSERT(!ledger.IsBlamed(kOther));
-    CPPUNIT_ASSERT(!watch.TakeCleared(kOther));
-    watch.Take({kGuilty, 1}, Evidence::Told);
-    CPPUNIT_ASSERT(!watch.TakeCleared(kGuilty));
+    CPPUNIT_ASSERT(watch.OnClearedByPeer(kOther));
+    CPPUNIT_ASSERT(!ledger.HasCrashes(kOther));
+    CPPUNIT_ASSERT(!watch.OnClearedByPeer(kOther));
+    watch.Take({kGuilty, 1}, Provenance::Told);
+    CPPUNIT_ASSERT(!watch.OnClearedByPeer(kGuilty));
   }
 
   void Loss_UpstreamAccepts_IsAskedAboutAgain() {
@@ -230,9 +230,9 @@
   // A proxy in front of one that has ended accepts, and closes on a request.
   void Loss_ReportsDroppedTwice_IsItsEnd() {
     watch.OnRunLost(kGuilty, member);
-    control.FailReport(ErrorKind::AnswerIncomplete);
+    control.FailReport(ErrorKind::ResponseIncomplete);
     CPPUNIT_ASSERT(found.empty());
-    control.FailReport(ErrorKind::AnswerIncomplete);
+    control.FailReport(ErrorKind::ResponseIncomplete);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, found.size());
   }
 
@@ -248,7 +248,7 @@
   }
 
   void Loss_UpstreamThatTakesNoCall_IsNotAskedForAReport() {
-    member->RestUntil(clock.Now() + 1s);
+    member->BackOffUntil(clock.Now() + 1s);
     watch.OnRunLost(kGuilty, member);
     CPPUNIT_ASSERT(control.asked.empty());
     control.EndReach(Reachability::Refused);
@@ -263,7 +263,7 @@
 
   void Loss_NothingKnownAndOffTheList_IsItsEnd() {
     watch.OnRunLost(kGuilty, upstream);
-    upstream->SetGone(clock.Now());
+    upstream->SetDeregistered(clock.Now());
     this->KeepUnknown();
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, found.size());
   }
@@ -275,10 +275,10 @@
     this->KeepUnknown(2900ms);
     watch.OnRunLost(kGuilty, upstream);
     this->KeepUnknown(1s);
-    upstream->SetGone(clock.Now());
+    upstream->SetDeregistered(clock.Now());
     this->KeepUnknown(3s);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, found.size());
-    CPPUNIT_ASSERT(ledger.IsBlamed(kGuilty) && !ledger.IsBlamed(kOther));
+    CPPUNIT_ASSERT(ledger.HasCrashes(kGuilty) && !ledger.HasCrashes(kOther));
   }
 
   void Loss_UpstreamStartsAgain_IsItsEndAtOnce() {
@@ -310,11 +310,11 @@
   void Answer_WhereStartsAreToldApart_ShowsNoLife() {
     UpstreamEntry entry;
     entry.id = "i1";
-    entry.born = 7;
-    const auto born = std::make_shared<LiveUpstream>(entry);
-    watch.OnRunLost(kGuilty, born);
+    entry.startTimeMs = 7;
+    const auto startTimeMs = std::make_shared<LiveUpstream>(entry);
+    watch.OnRunLost(kGuilty, startTimeMs);
     control.EndReach(Reachability::Reached);
-    watch.OnUpstreamAnswered(*born, clock.Now() + 1ms);
+    watch.OnUpstreamAnswered(*startTimeMs, clock.Now() + 1ms);
     CPPUNIT_ASSERT(ledger.MayBlock());
   }
 
@@ -334,14 +334,14 @@
     constexpr std::uint64_t kMany = 20'000;
     for (std::uint64_t i = 0; i < kMany; ++i) {
       clock.Advance(1us);
-      watch.Take({RequestFingerprint{1000 + i}, i}, Evidence::Found);
+      watch.Take({RequestFingerprint{1000 + i}, i}, Provenance::Observed);
     }
-    CPPUNIT_ASSERT(!watch.TakeCleared(RequestFingerprint{1000}));
-    CPPUNIT_ASSERT(watch.TakeCleared(RequestFingerprint{1000 + kMany - 1}));
+    CPPUNIT_ASSERT(!watch.OnClearedByPeer(RequestFingerprint{1000}));
+    CPPUNIT_ASSERT(watch.OnClearedByPeer(RequestFingerprint{1000 + kMany - 1}));
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(CrashWatchTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(CrashDetectorTest);
 
 }  // namespace
 }  // namespace zincstep
--- a/UnitTests/CrashReplayTest.cpp
+++ b/UnitTests/CrashReplayTest.cpp
@@ -21,7 +21,7 @@
   CrashReplay(std::size_t aDaemons, std::uint64_t aSeed)
       : random(aSeed), upAt(aDaemons, Instant{}) {
     for (std::size_t i = 0; i < aDaemons; ++i) {
-      this->ledgers.emplace_back(CrashLedgerSettings{});
+      this->ledgers.emplace_back(CrashTrackerSettings{});
     }
   }
 
@@ -115,7 +115,7 @@
   }
 
   void Send(Request aRequest) {
-    CrashLedger& ledger = this->ledgers[aRequest.daemon];
+    CrashTracker& ledger = this->ledgers[aRequest.daemon];
     this->innocent += aRequest.isGuilty ? 0 : 1;
     if (ledger.BlockedFor(aRequest.fingerprint, this->now) > Micros{0}) {
       this->refused += aRequest.isGuilty ? 0 : 1;
@@ -158,7 +158,7 @@
     run.isOver = true;
     const RequestFingerprint request = run.request.fingerprint;
     if (this->ledgers[run.request.daemon].OnAnswered(request, this->now)) {
-      this->Tell(run.request.daemon, [request](CrashLedger& aLedger, Instant) {
+      this->Tell(run.request.daemon, [request](CrashTracker& aLedger, Instant) {
         aLedger.Clear(request);
       });
     }
@@ -202,14 +202,14 @@
           !this->knownAt) {
         this->knownAt = this->now + kLongestTold;
       }
-      this->Tell(aDaemon, [aCrash](CrashLedger& aLedger, Instant aNow) {
+      this->Tell(aDaemon, [aCrash](CrashTracker& aLedger, Instant aNow) {
         aLedger.OnCrash(aCrash, aNow);
       });
     });
   }
 
   void Tell(std::size_t aFrom,
-            const std::function<void(CrashLedger&, Instant)>& aWhat) {
+            const std::function<void(CrashTracker&, Instant)>& aWhat) {
     for (std::size_t to = 0; to < this->ledgers.size(); ++to) {
       if (to != aFrom) {
         this->At(this->Draw(kLongestTold),
@@ -221,7 +221,7 @@
   Random random;
   Instant now{};
   std::vector<Instant> upAt;
-  std::deque<CrashLedger> ledgers;
+  std::deque<CrashTracker> ledgers;
   std::deque<Running> running;
   std::priority_queue<Step> steps;
   std::uint64_t lastStep = 0;
--- a/UnitTests/CrashLedgerTest.cpp
+++ b/UnitTests/CrashTrackerTest.cpp
@@ -8,8 +8,8 @@
 constexpr RequestFingerprint kGuilty{1};
 constexpr RequestFingerprint kOther{2};
 
-class CrashLedgerTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(CrashLedgerTest);
+class CrashTrackerTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(CrashTrackerTest);
   CPPUNIT_TEST(Fingerprint_OfAnotherOrganisationOrBody_Differs);
   CPPUNIT_TEST(Fingerprint_PartsThatRunTogether_Differ);
   CPPUNIT_TEST(Fingerprint_Text_ReadsAsWritten);
@@ -27,8 +27,8 @@
   CPPUNIT_TEST(Suspected_AnsweredLately_IsNotHeldBack);
   CPPUNIT_TEST_SUITE_END();
 
-  CrashLedgerSettings settings;
-  CrashLedger ledger{settings};
+  CrashTrackerSettings settings;
+  CrashTracker ledger{settings};
   Instant now{Micros{100s}};
 
   void CrashThree(RequestFingerprint aRequest) {
@@ -100,7 +100,7 @@
   void Answer_Lately_SpeaksForTheRequest() {
     ledger.OnAnswered(kGuilty, now);
     now += 1s;
-    CPPUNIT_ASSERT(ledger.OnCrash({kGuilty, 1}, now) == CrashVerdict::Innocent);
+    CPPUNIT_ASSERT(ledger.OnCrash({kGuilty, 1}, now) == CrashVerdict::Ignored);
     this->CrashThree(kGuilty);
     CPPUNIT_ASSERT(!this->IsBlocked(kGuilty));
     now += settings.answeredTime;
@@ -110,13 +110,13 @@
 
   void Answer_OfManyOthers_IsForgottenInOrder() {
     ledger.OnAnswered(kGuilty, now);
-    for (std::uint64_t i = 0; i < settings.mostAnswered; ++i) {
+    for (std::uint64_t i = 0; i < settings.maxAnswered; ++i) {
       ledger.OnAnswered(RequestFingerprint{1000 + i}, now);
     }
     this->CrashThree(kGuilty);
     CPPUNIT_ASSERT(this->IsBlocked(kGuilty));
     CPPUNIT_ASSERT(ledger.OnCrash({RequestFingerprint{1001}, 1}, now) ==
-                   CrashVerdict::Innocent);
+                   CrashVerdict::Ignored);
   }
 
   void Block_AfterItsTime_Ends() {
@@ -124,7 +124,7 @@
     ledger.OnCrash({kOther, 1}, now);
     now += settings.memory;
     ledger.Tick(now);
-    CPPUNIT_ASSERT(!ledger.IsBlamed(kOther));
+    CPPUNIT_ASSERT(!ledger.HasCrashes(kOther));
     CPPUNIT_ASSERT(this->IsBlocked(kGuilty));
     now += settings.blockedTime;
     CPPUNIT_ASSERT(!this->IsBlocked(kGuilty));
@@ -150,12 +150,12 @@
 
   void Room_ManyRequests_LeavesTheBlocked() {
     this->CrashThree(kGuilty);
-    for (std::uint64_t i = 0; i < 2 * settings.mostRequests; ++i) {
+    for (std::uint64_t i = 0; i < 2 * settings.maxRequests; ++i) {
       now += 1us;
       ledger.OnCrash({RequestFingerprint{1000 + i}, i}, now);
     }
     CPPUNIT_ASSERT(this->IsBlocked(kGuilty));
-    CPPUNIT_ASSERT(!ledger.IsBlamed(RequestFingerprint{1000}));
+    CPPUNIT_ASSERT(!ledger.HasCrashes(RequestFingerprint{1000}));
   }
 
   // While nothing was known of three ends, the same request went on to a
@@ -166,11 +166,11 @@
       ledger.OnSuspected({kGuilty, upstream});
       ledger.OnSuspected({kGuilty, upstream});
     }
-    CPPUNIT_ASSERT(ledger.BlockedFor(kGuilty, now) == settings.heldTime);
+    CPPUNIT_ASSERT(ledger.BlockedFor(kGuilty, now) == settings.holdTime);
     CPPUNIT_ASSERT(!this->IsBlocked(kOther));
     // Nobody is told, and nothing is written, of what is not known.
     CPPUNIT_ASSERT(ledger.Blocked(now).empty());
-    CPPUNIT_ASSERT(!ledger.IsBlamed(kGuilty));
+    CPPUNIT_ASSERT(!ledger.HasCrashes(kGuilty));
     ledger.OnSettled({kGuilty, 2});
     CPPUNIT_ASSERT(!this->IsBlocked(kGuilty));
   }
@@ -193,7 +193,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(CrashLedgerTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(CrashTrackerTest);
 
 }  // namespace
 }  // namespace zincstep
--- a/UnitTests/CrashingRequestTest.cpp
+++ b/UnitTests/CrashingRequestTest.cpp
@@ -147,11 +147,11 @@
     settings.retries.most = 100;
     for (int i = 0; i < kMostCrashes; ++i) {
       holdsNext = true;
-      std::optional<Result<HttpAnswer>> answer;
-      FetchWhole(
+      std::optional<Result<HttpResponse>> answer;
+      FetchResponse(
           loop, {asio::ip::address_v4::loopback(), this->listener->Port()},
           this->Attempt("/llm/x", "held"), 10s,
-          [&](Result<HttpAnswer> aAnswer) { answer = std::move(aAnswer); });
+          [&](Result<HttpResponse> aAnswer) { answer = std::move(aAnswer); });
       this->RunUntil([&] { return answer || held; });
       // Whichever upstream crashes now takes the other's with it.
       this->Ask(this->Attempt("/llm/x", "bad"));
--- a/UnitTests/EntryKeeperTest.cpp
+++ b/UnitTests/DaemonRegistrarTest.cpp
@@ -1,7 +1,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "Zincstep/Edge/DaemonEntry.h"
-#include "Zincstep/Edge/EntryKeeper.h"
+#include "Zincstep/Edge/DaemonRegistrar.h"
 
 namespace zincstep {
 namespace {
@@ -57,8 +57,8 @@
   bool isAway = false;
 };
 
-class EntryKeeperTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(EntryKeeperTest);
+class DaemonRegistrarTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(DaemonRegistrarTest);
   CPPUNIT_TEST(Keep_AtRest_CallsTheStoreSeldom);
   CPPUNIT_TEST(Keep_DaemonsThatStartTogether_RenewApart);
   CPPUNIT_TEST(Keep_EntryOfAnEarlierProcess_IsReplaced);
@@ -82,7 +82,7 @@
   FakeClock clock;
   EdgeSettings settings;
   EntryStore store;
-  std::unique_ptr<EntryKeeper> keeper;
+  std::unique_ptr<DaemonRegistrar> controller;
   bool leads = true;
 
   static constexpr const char* kOwnKey = "members/a/d1";
@@ -90,7 +90,7 @@
   void Run(Micros aSpan) {
     for (Micros passed{0}; passed < aSpan; passed += 250ms) {
       clock.Advance(250ms);
-      keeper->Keep(leads);
+      controller->Keep(leads);
     }
   }
 
@@ -108,7 +108,7 @@
       const std::string own = key.substr(settings.storePrefix.size());
       listed[own] = {own, item.value, item.revision};
     }
-    keeper->OnEntries(listed);
+    controller->OnEntries(listed);
   }
 
  public:
@@ -117,7 +117,7 @@
     settings.peerListen = "h1:1";
     settings.failureDomain = "a";
     clock.Advance(60s);
-    keeper = std::make_unique<EntryKeeper>(settings, store, clock);
+    controller = std::make_unique<DaemonRegistrar>(settings, store, clock);
     this->Tell();
   }
 
@@ -134,18 +134,18 @@
     EdgeSettings other = settings;
     other.name = "d2";
     EntryStore otherStore;
-    EntryKeeper second(other, otherStore, clock);
+    DaemonRegistrar second(other, otherStore, clock);
     second.OnEntries(listed);
     for (int i = 0; i < 4; ++i) {
       clock.Advance(250ms);
-      keeper->Keep(true);
+      controller->Keep(true);
       second.Keep(true);
     }
     std::optional<Instant> first;
     std::optional<Instant> last;
     while (!first || !last) {
       clock.Advance(50ms);
-      keeper->Keep(true);
+      controller->Keep(true);
       second.Keep(true);
       if (store.calls == 3 && !first) {
         first = clock.Now();
@@ -179,11 +179,11 @@
 
   // A daemon that leads after the end of all wrote anew what stood there.
   void Keep_ListNotKnownYet_WritesNothing() {
-    EntryKeeper fresh(settings, store, clock);
+    DaemonRegistrar fresh(settings, store, clock);
     for (int i = 0; i < 8; ++i) {
       clock.Advance(250ms);
       fresh.Keep(true);
-      fresh.OnAsker(Asker(2));
+      fresh.OnQueryFrom(Asker(2));
     }
     CPPUNIT_ASSERT_EQUAL(0, store.calls);
   }
@@ -229,7 +229,7 @@
     const int calls = store.calls;
     constexpr int kAskers = 200;
     for (int i = 2; i < 2 + kAskers; ++i) {
-      keeper->OnAsker(Asker(i));
+      controller->OnQueryFrom(Asker(i));
     }
     this->Run(3s);
     CPPUNIT_ASSERT_EQUAL(1 + kAskers, store.puts);
@@ -242,7 +242,7 @@
     this->Run(1s);
     PeerName far = Asker(2);
     far.failureDomain = "b";
-    keeper->OnAsker(far);
+    controller->OnQueryFrom(far);
     this->Run(3s);
     CPPUNIT_ASSERT_EQUAL(1, store.puts);
   }
@@ -252,7 +252,7 @@
     store.items[key] = {key, DaemonEntry::TextOf(Asker(2)), {4}};
     this->Tell();
     this->Run(1s);
-    keeper->OnAsker(Asker(2));
+    controller->OnQueryFrom(Asker(2));
     this->Run(5s);
     CPPUNIT_ASSERT_EQUAL(1, store.puts);
     this->Run(7s);
@@ -261,12 +261,12 @@
 
   void Askers_AtANewAddress_AreWrittenAnew() {
     this->Run(1s);
-    keeper->OnAsker(Asker(2));
+    controller->OnQueryFrom(Asker(2));
     this->Run(1s);
     this->Tell();
     PeerName moved = Asker(2);
     moved.address = "h9:1";
-    keeper->OnAsker(moved);
+    controller->OnQueryFrom(moved);
     this->Run(1s);
     CPPUNIT_ASSERT_EQUAL(
         DaemonEntry::TextOf(moved),
@@ -275,7 +275,7 @@
 
   void Askers_ThatFallSilent_AreRemoved() {
     this->Run(1s);
-    keeper->OnAsker(Asker(2));
+    controller->OnQueryFrom(Asker(2));
     this->Run(1s);
     this->Tell();
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, store.items.size());
@@ -287,11 +287,11 @@
 
   void Entries_OwnOneGone_IsWrittenAgain() {
     this->Run(1s);
-    keeper->OnEntries(listed);
+    controller->OnEntries(listed);
     this->Run(1s);
     CPPUNIT_ASSERT_EQUAL(1, store.puts);
     this->Tell();
-    CPPUNIT_ASSERT(keeper->IsListed());
+    CPPUNIT_ASSERT(controller->IsListed());
     store.items.clear();
     this->Tell();
     this->Run(1s);
@@ -300,14 +300,14 @@
 
   void Entries_GoneOfOneThatAsksNoMore_StayAway() {
     this->Run(1s);
-    keeper->OnAsker(Asker(2));
+    controller->OnQueryFrom(Asker(2));
     this->Run(1s);
     this->Tell();
     store.items.erase(settings.storePrefix + DaemonEntry::KeyOf(Asker(2)));
     this->Tell();
     this->Run(20s);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, store.items.size());
-    keeper->OnAsker(Asker(2));
+    controller->OnQueryFrom(Asker(2));
     this->Run(1s);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, store.items.size());
   }
@@ -318,7 +318,7 @@
     store.items.clear();
     this->Tell();
     Random random{7};
-    keeper->OnRestored(random);
+    controller->OnRestored(random);
     this->Run(1250ms);
     CPPUNIT_ASSERT_EQUAL(2, store.grants);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, store.items.size());
@@ -328,11 +328,11 @@
     constexpr int kDaemons = 300;
     Random random{7};
     std::vector<std::unique_ptr<EntryStore>> stores;
-    std::vector<std::unique_ptr<EntryKeeper>> keepers;
+    std::vector<std::unique_ptr<DaemonRegistrar>> keepers;
     for (int i = 0; i < kDaemons; ++i) {
       stores.push_back(std::make_unique<EntryStore>());
       keepers.push_back(
-          std::make_unique<EntryKeeper>(settings, *stores.back(), clock));
+          std::make_unique<DaemonRegistrar>(settings, *stores.back(), clock));
       keepers.back()->OnEntries(listed);
       keepers.back()->Keep(true);
       keepers.back()->OnRestored(random);
@@ -355,18 +355,18 @@
   void End_EntryKept_IsTakenBackForGood() {
     this->Run(1s);
     this->Tell();
-    keeper->End();
-    keeper->End();
+    controller->End();
+    controller->End();
     CPPUNIT_ASSERT(store.items.empty());
     this->Tell();
     const int calls = store.calls;
     this->Run(60s);
     CPPUNIT_ASSERT_EQUAL(calls, store.calls);
-    CPPUNIT_ASSERT(!keeper->WantsEntry());
+    CPPUNIT_ASSERT(!controller->WantsEntry());
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(EntryKeeperTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(DaemonRegistrarTest);
 
 }  // namespace
 }  // namespace zincstep
--- a/UnitTests/LostDomainsTest.cpp
+++ b/UnitTests/DomainRecoveryMonitorTest.cpp
@@ -1,13 +1,13 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "UnitTests/ScriptedControl.h"
-#include "Zincstep/Relay/LostDomains.h"
+#include "Zincstep/Relay/DomainRecoveryMonitor.h"
 
 namespace zincstep {
 namespace {
 
-class LostDomainsTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(LostDomainsTest);
+class DomainRecoveryMonitorTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(DomainRecoveryMonitorTest);
   CPPUNIT_TEST(Tick_CutDomainAnswers_TakesItsSuspicionsBack);
   CPPUNIT_TEST(Tick_CutDomainIsSilent_IsAskedNowAndThen);
   CPPUNIT_TEST(Tick_FewSuspects_AsksNobody);
@@ -17,8 +17,9 @@
   FakeClock clock;
   Random random{1};
   ScriptedControl control;
-  MemberProbe probe{MemberProbeSettings{}, control, clock, [](Evidence) {}};
-  LostDomains lost{probe, clock, random};
+  UpstreamProber probe{UpstreamProberSettings{}, control, clock,
+                       [](Provenance) {}};
+  DomainRecoveryMonitor lost{probe, clock, random};
   UpstreamDirectory directory;
 
   void Add(const std::string& aDomain, int aCount, const std::string& aKind) {
@@ -104,7 +105,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(LostDomainsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(DomainRecoveryMonitorTest);
 
 }  // namespace
 }  // namespace zincstep
--- a/UnitTests/EarlyRequestTest.cpp
+++ b/UnitTests/EarlyRequestTest.cpp
@@ -61,14 +61,14 @@
   }
 
   void Request_NoConfigurationForLong_IsNotRun() {
-    settings.firstBeliefsPatience = 100ms;
+    settings.initialStateTimeout = 100ms;
     const auto answer = this->Ask(this->Request("/unsafe/"));
     CPPUNIT_ASSERT_EQUAL(503, answer->status);
     CPPUNIT_ASSERT_EQUAL(std::string("not_ready"), answer->body);
   }
 
   void Stream_NoListForLong_IsNotRunAndBackSoon() {
-    settings.firstBeliefsPatience = 100ms;
+    settings.initialStateTimeout = 100ms;
     this->Configure(kRelayConfig);
     const auto answer = this->Ask(this->Request("/llm/"));
     CPPUNIT_ASSERT_EQUAL(503, answer->status);
@@ -93,7 +93,7 @@
     RetryBudgetSettings spent;
     spent.most = 0.5;
     budgets.emplace("plain", spent);
-    for (int i = 0; i < settings.mostSends - 1; ++i) {
+    for (int i = 0; i < settings.maxSends - 1; ++i) {
       this->List("plain", "127.0.0.1:" + std::to_string(1 + i));
     }
     this->AddPlain();
--- a/UnitTests/EdgePeerMessageTest.cpp
+++ b/UnitTests/EdgePeerMessageTest.cpp
@@ -93,7 +93,7 @@
     give.era = 3;
     give.question = 9;
     give.copy.configVersion = 12;
-    ListCopy& list = give.copy.upstreams.emplace();
+    ListUpdate& list = give.copy.upstreams.emplace();
     list.at = {60, 3};
     list.isWhole = false;
     list.items = {{"i1", "text", {58, 3}}};
@@ -101,9 +101,9 @@
     list.grace = 900ms;
     list.digest = 77;
     const auto message = ReadBack(give);
-    const ClusterCopy& copy = std::get<ClusterGive>(message.body).copy;
+    const ClusterUpdate& copy = std::get<ClusterGive>(message.body).copy;
     CPPUNIT_ASSERT(!copy.daemons);
-    CPPUNIT_ASSERT(!copy.proofAge && !copy.listsAge);
+    CPPUNIT_ASSERT(!copy.validationAge && !copy.listsAge);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, copy.configVersion);
     CPPUNIT_ASSERT(copy.upstreams->at == StoreRevision({60, 3}));
     CPPUNIT_ASSERT(!copy.upstreams->isWhole);
@@ -115,8 +115,8 @@
   }
 
   /// Entries of that many upstreams as they write them.
-  static ListCopy Entries(int aCount) {
-    ListCopy list;
+  static ListUpdate Entries(int aCount) {
+    ListUpdate list;
     list.at = {60, 3};
     for (int i = 0; i < aCount; ++i) {
       const std::string number = std::to_string(i);
@@ -148,7 +148,7 @@
     CPPUNIT_ASSERT_EQUAL(Entries(100).items[42].value, list->items[42].value);
     CPPUNIT_ASSERT(list->items[42].revision == StoreRevision({60, 3}));
     CPPUNIT_ASSERT(list->grace == 700ms);
-    const ClusterCopy& copy = std::get<ClusterGive>(message.body).copy;
+    const ClusterUpdate& copy = std::get<ClusterGive>(message.body).copy;
     CPPUNIT_ASSERT_EQUAL(std::string("the configuration"), copy.configText);
     CPPUNIT_ASSERT_EQUAL(std::size_t{10}, copy.daemons->items.size());
   }
@@ -157,7 +157,7 @@
   // that is 1.2 MB for each of a hundred daemons, of which the first of a
   // domain may send 2.5 MB a second.
   void Message_PackedList_IsAFractionOfItsText() {
-    const ListCopy list = Entries(3000);
+    const ListUpdate list = Entries(3000);
     std::size_t text = 0;
     for (const StoreItem& item : list.items) {
       text += item.key.size() + item.value.size();
@@ -186,7 +186,7 @@
   void Message_ThatLacksItsPackedEnd_IsRefused() {
     ClusterGive give;
     give.packedConfig = Shared(std::string(1000, 'x'));
-    const PeerText text = WriteEdgePeerMessage({"d1", "h:1", give});
+    const PeerFrame text = WriteEdgePeerMessage({"d1", "h:1", give});
     CPPUNIT_ASSERT_EQUAL(text.head.size() + 1000, text.Size());
     CPPUNIT_ASSERT(!ReadEdgePeerMessage(text.head).has_value());
   }
--- a/UnitTests/EdgeSettingsTest.cpp
+++ b/UnitTests/EdgeSettingsTest.cpp
@@ -18,15 +18,15 @@
   // 2,012 ms after the word that it leaves; a list was relied on for 1.7 s.
   void LongestReliance_UsualNotice_LeavesTimeToAskTheStore() {
     settings.drainNotice = 2s;
-    CPPUNIT_ASSERT(LongestReliance(settings) <= 1400ms);
+    CPPUNIT_ASSERT(MaxSyncStaleness(settings) <= 1400ms);
     settings.drainNotice = 3s;
-    CPPUNIT_ASSERT(LongestReliance(settings) <= 2400ms);
-    CPPUNIT_ASSERT(LongestReliance(settings) >= 2s);
+    CPPUNIT_ASSERT(MaxSyncStaleness(settings) <= 2400ms);
+    CPPUNIT_ASSERT(MaxSyncStaleness(settings) >= 2s);
   }
 
   void LongestReliance_ShortNotice_LeavesTimeForAnAnswer() {
     settings.drainNotice = 500ms;
-    CPPUNIT_ASSERT(LongestReliance(settings) >= 1s);
+    CPPUNIT_ASSERT(MaxSyncStaleness(settings) >= 1s);
   }
 };
 
--- a/UnitTests/FleetStartTest.cpp
+++ b/UnitTests/FleetStartTest.cpp
@@ -4,7 +4,7 @@
 #include <deque>
 
 #include "Zincstep/Edge/DaemonEntry.h"
-#include "Zincstep/Edge/EntryKeeper.h"
+#include "Zincstep/Edge/DaemonRegistrar.h"
 #include "Zincstep/Edge/PeerMembers.h"
 
 namespace zincstep {
@@ -103,7 +103,7 @@
     int count = 0;
     for (const Daemon& daemon : this->daemons) {
       const bool isStrong = daemon.settings.linkMbps > 100;
-      count += isStrong || daemon.members->HasTeller() ? 1 : 0;
+      count += isStrong || daemon.members->HasSyncSource() ? 1 : 0;
     }
     return count;
   }
@@ -121,7 +121,7 @@
     EdgeSettings settings;
     Instant startsAt{};
     std::unique_ptr<PeerMembers> members;
-    std::unique_ptr<EntryKeeper> entries;
+    std::unique_ptr<DaemonRegistrar> entries;
     Instant nextTellers{};
     bool isFresh = false;
     bool hasList = false;
@@ -130,8 +130,8 @@
 
   /// Whether a daemon asks the store now.
   static bool Asks(const Daemon& aDaemon) {
-    return aDaemon.members && aDaemon.members->MayAskStore() &&
-           !aDaemon.members->MayRely();
+    return aDaemon.members && aDaemon.members->MayQueryStore() &&
+           !aDaemon.members->HasFreshSyncSource();
   }
 
   enum class Kind { AskNames, Names, AskNews, News };
@@ -163,9 +163,9 @@
   void Begin(Daemon& aDaemon) {
     aDaemon.members =
         std::make_unique<PeerMembers>(aDaemon.settings, this->clock);
-    aDaemon.entries = std::make_unique<EntryKeeper>(aDaemon.settings,
-                                                    this->store, this->clock);
-    aDaemon.members->OnEarlyEntries(
+    aDaemon.entries = std::make_unique<DaemonRegistrar>(
+        aDaemon.settings, this->store, this->clock);
+    aDaemon.members->OnBootstrapEntries(
         this->EarlyEntries(aDaemon.settings.failureDomain));
     aDaemon.isFresh = false;
     aDaemon.hasList = false;
@@ -187,7 +187,7 @@
           this->OnAsked(message, daemon);
           break;
         case Kind::Names:
-          daemon.members->OnNamed(message.names);
+          daemon.members->OnPeersDiscovered(message.names);
           break;
         case Kind::News:
           daemon.members->OnAnswer(from, message.isFresh
@@ -201,8 +201,8 @@
 
   void OnAsked(const Message& aMessage, Daemon& aDaemon) {
     const PeerName asker = this->NameOf(aMessage.from);
-    aDaemon.members->OnAsker(asker);
-    aDaemon.entries->OnAsker(asker);
+    aDaemon.members->OnQueryFrom(asker);
+    aDaemon.entries->OnQueryFrom(asker);
     const bool isNames = aMessage.kind == Kind::AskNames;
     Message answer{isNames ? Kind::Names : Kind::News,
                    aMessage.to,
@@ -229,17 +229,17 @@
       daemon.isFresh = true;
     }
     if (this->steps % 5 == aNumber % 5) {
-      daemon.entries->Keep(daemon.members->Leads());
+      daemon.entries->Keep(daemon.members->IsDomainLeader());
     }
     if (now >= daemon.nextTellers) {
       daemon.nextTellers = now + (daemon.isFresh ? 250ms : 100ms);
       for (const std::string& address :
-           daemon.members->TakeTellers(daemon.isFresh ? 3 : 10)) {
+           daemon.members->NextSyncSources(daemon.isFresh ? 3 : 10)) {
         this->messages.push_back(
             {Kind::AskNews, aNumber, this->byAddress.at(address), {}});
       }
     }
-    if (!daemon.isFresh && !daemon.members->HasTeller() &&
+    if (!daemon.isFresh && !daemon.members->HasSyncSource() &&
         this->steps % 2 == 0) {
       for (std::size_t seed = 0; seed < 3; ++seed) {
         if (seed != aNumber) {
@@ -263,7 +263,7 @@
         const bool isNews = !daemon.hasList || daemon.toldAt < list.At();
         if (daemon.members && daemon.isFresh && isNews) {
           daemon.hasList = true;
-          daemon.members->OnEntries(list.CopySince(daemon.toldAt));
+          daemon.members->OnEntries(list.UpdateSince(daemon.toldAt));
           daemon.entries->OnEntries(list.Items());
           daemon.toldAt = list.At();
         }
--- a/UnitTests/IncarnationTest.cpp
+++ b/UnitTests/IncarnationTest.cpp
@@ -64,13 +64,13 @@
 
   /// Runs until the answer to a request is there; `aOnSent` is called once an
   /// upstream has it.
-  Result<HttpAnswer> AskAnd(const std::string& aRequest,
-                            const std::function<void()>& aOnSent) {
-    std::optional<Result<HttpAnswer>> answer;
-    FetchWhole(loop, {asio::ip::address_v4::loopback(), this->listener->Port()},
-               aRequest, 10s, [&](Result<HttpAnswer> aAnswer) {
-                 answer = std::move(aAnswer);
-               });
+  Result<HttpResponse> AskAnd(const std::string& aRequest,
+                              const std::function<void()>& aOnSent) {
+    std::optional<Result<HttpResponse>> answer;
+    FetchResponse(
+        loop, {asio::ip::address_v4::loopback(), this->listener->Port()},
+        aRequest, 10s,
+        [&](Result<HttpResponse> aAnswer) { answer = std::move(aAnswer); });
     this->RunUntil([&] { return !silent.empty(); });
     aOnSent();
     this->RunUntil([&] { return answer.has_value(); });
@@ -110,14 +110,14 @@
     const UpstreamPtr former = this->Find("i1");
     former->Suspect(clock.Now());
     former->own = 50;
-    former->SetPace(7, clock.Now());
+    former->SetSlowdown(7, clock.Now());
     this->Put("i1", "127.0.0.1:1", 2);
     const UpstreamPtr present = this->Find("i1");
     CPPUNIT_ASSERT(present != former);
     CPPUNIT_ASSERT(!present->IsSuspect(clock.Now()));
     CPPUNIT_ASSERT_EQUAL(0.0, present->Work());
-    CPPUNIT_ASSERT_EQUAL(1.0, present->Pace(clock.Now()));
-    CPPUNIT_ASSERT(former->IsGone());
+    CPPUNIT_ASSERT_EQUAL(1.0, present->Slowdown(clock.Now()));
+    CPPUNIT_ASSERT(former->IsDeregistered());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1},
                          view.Directory().OfService("model").size());
   }
@@ -168,7 +168,7 @@
     this->Put("i2", "127.0.0.1:1", 0);
     this->Put("i1", "127.0.0.1:1", 0);
     CPPUNIT_ASSERT(!this->Find("i1")->IsUsable(clock.Now()));
-    CPPUNIT_ASSERT(!this->Find("i1")->IsPresent(clock.Now()));
+    CPPUNIT_ASSERT(!this->Find("i1")->IsHealthy(clock.Now()));
     CPPUNIT_ASSERT(this->Find("i2")->IsUsable(clock.Now()));
     this->Drop("i1");
     this->Put("i1", "127.0.0.1:1", 0);
--- a/UnitTests/ItemListTest.cpp
+++ b/UnitTests/ItemListTest.cpp
@@ -72,11 +72,11 @@
     Random random(aSeed);
     FakeStore store;
     std::array<PrefixMirror, 4> mirrors;
-    const auto ask = [&](std::size_t aAsker, std::size_t aTeller) {
-      PrefixMirror& asker = mirrors[aAsker];
+    const auto ask = [&](std::size_t aRequester, std::size_t aReporter) {
+      PrefixMirror& asker = mirrors[aRequester];
       const StoreRevision since = asker.List().AskSince();
-      if (since < mirrors[aTeller].At()) {
-        asker.OnCopy(mirrors[aTeller].List().CopySince(since));
+      if (since < mirrors[aReporter].At()) {
+        asker.OnUpdate(mirrors[aReporter].List().UpdateSince(since));
       }
     };
     for (int step = 0; step < kSteps; ++step) {
@@ -135,10 +135,10 @@
     }
     events.at = {4000};
     mirror.OnEvents(events);
-    CPPUNIT_ASSERT(mirror.List().CopySince({1}).isWhole);
-    CPPUNIT_ASSERT(!mirror.List().CopySince({3900}).isWhole);
+    CPPUNIT_ASSERT(mirror.List().UpdateSince({1}).isWhole);
+    CPPUNIT_ASSERT(!mirror.List().UpdateSince({3900}).isWhole);
     CPPUNIT_ASSERT_EQUAL(std::size_t{99},
-                         mirror.List().CopySince({3900}).removed.size());
+                         mirror.List().UpdateSince({3900}).removed.size());
   }
 };
 
--- a/UnitTests/LiveUpstreamTest.cpp
+++ b/UnitTests/LiveUpstreamTest.cpp
@@ -46,8 +46,8 @@
   // layers were ordered elsewhere, which cut what ran there.
   void Refusing_Upstream_IsPresentButNotSound() {
     this->Refuse(upstream);
-    CPPUNIT_ASSERT(upstream.IsPresent(clock.Now()));
-    CPPUNIT_ASSERT(!upstream.IsSound(clock.Now()));
+    CPPUNIT_ASSERT(upstream.IsHealthy(clock.Now()));
+    CPPUNIT_ASSERT(!upstream.IsAcceptingWork(clock.Now()));
   }
 };
 
--- a/UnitTests/LocalDomain.cpp
+++ b/UnitTests/LocalDomain.cpp
@@ -140,7 +140,7 @@
   ZINCSTEP_ASSERT(Eventually([&] {
     HttpCall call;
     call.url = "http://" + daemon.Settings().adminListen + "/readyz";
-    return FetchNow(call).status == 200;
+    return FetchBlocking(call).status == 200;
   }));
   return daemon;
 }
@@ -188,7 +188,7 @@
   call.method = "PUT";
   call.url = aUrl;
   call.body = aBody;
-  ZINCSTEP_ASSERT(FetchNow(call).status == 200);
+  ZINCSTEP_ASSERT(FetchBlocking(call).status == 200);
 }
 
 void LocalDomain::EngineFault(const std::string& aName,
@@ -228,13 +228,13 @@
   if (FindHeader(call.headers, "Authorization").empty()) {
     call.headers.push_back({"Authorization", "Bearer test-key"});
   }
-  return FetchNow(call);
+  return FetchBlocking(call);
 }
 
 Json LocalDomain::Admin(const EntryDaemon& aDaemon, const std::string& aPath) {
   HttpCall call;
   call.url = "http://" + aDaemon.Settings().adminListen + aPath;
-  return Json::parse(FetchNow(call).body, nullptr, false);
+  return Json::parse(FetchBlocking(call).body, nullptr, false);
 }
 
 HttpCallResult LocalDomain::Complete(const EntryDaemon& aDaemon,
@@ -259,13 +259,13 @@
 Json LocalDomain::Runs() {
   HttpCall call;
   call.url = "http://" + this->service->Address() + "/v1/runs";
-  return Json::parse(FetchNow(call).body, nullptr, false);
+  return Json::parse(FetchBlocking(call).body, nullptr, false);
 }
 
 double LocalDomain::EngineLoadOf(const std::string& aName) {
   HttpCall call;
   call.url = "http://" + this->AddressOf(aName) + "/v1/load";
-  const Json json = Json::parse(FetchNow(call).body, nullptr, false);
+  const Json json = Json::parse(FetchBlocking(call).body, nullptr, false);
   return json.is_object() ? json.value("sequences", 0.0) : -1;
 }
 
--- a/UnitTests/ModelRequestTest.cpp
+++ b/UnitTests/ModelRequestTest.cpp
@@ -85,7 +85,7 @@
   double Metric(const std::string& aName) {
     HttpCall call;
     call.url = "http://" + this->daemon.Settings().adminListen + "/metrics";
-    const std::string text = FetchNow(call).body;
+    const std::string text = FetchBlocking(call).body;
     const std::size_t at = text.find("\n" + aName + " ");
     return at == std::string::npos
                ? 0
@@ -175,7 +175,7 @@
     call.headers = {{"Authorization", "Bearer test-key"}};
     call.body = R"({"model":"demo","prompt":"x","max_tokens":400})";
     call.timeout = 300ms;
-    CPPUNIT_ASSERT(FetchNow(call).end == CallEnd::TimedOut);
+    CPPUNIT_ASSERT(FetchBlocking(call).end == CallEnd::TimedOut);
     CPPUNIT_ASSERT(
         LocalDomain::Eventually([this] { return this->Busy().empty(); }));
     CPPUNIT_ASSERT(LocalDomain::Eventually([this] {
--- a/UnitTests/ToldChangesTest.cpp
+++ b/UnitTests/ObservedChangesTest.cpp
@@ -1,19 +1,19 @@
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "Zincstep/Cluster/ToldChanges.h"
+#include "Zincstep/Cluster/ObservedChanges.h"
 
 namespace zincstep {
 namespace {
 
-class ToldChangesTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(ToldChangesTest);
+class ObservedChangesTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ObservedChangesTest);
   CPPUNIT_TEST(WithoutGap_AllTold_IsTheLast);
   CPPUNIT_TEST(WithoutGap_OneNotTold_IsTheOneBefore);
   CPPUNIT_TEST(WithoutGap_NextNotTold_IsWhereItBegan);
   CPPUNIT_TEST(Forget_UpToARevision_KeepsLaterOnes);
   CPPUNIT_TEST_SUITE_END();
 
-  ToldChanges told;
+  ObservedChanges told;
 
  public:
   void setUp() override {
@@ -44,7 +44,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ToldChangesTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ObservedChangesTest);
 
 }  // namespace
 }  // namespace zincstep
--- a/UnitTests/PackedListsTest.cpp
+++ b/UnitTests/PackedListsTest.cpp
@@ -14,8 +14,8 @@
 
   PackedLists lists;
 
-  static ListCopy ListAt(std::uint64_t aNumber, std::uint64_t aEra = 1) {
-    ListCopy list;
+  static ListUpdate ListAt(std::uint64_t aNumber, std::uint64_t aEra = 1) {
+    ListUpdate list;
     list.at = {aNumber, aEra};
     list.items = {{"i1", "text", {aNumber, aEra}}};
     list.isWhole = false;
--- a/UnitTests/PeerMembersTest.cpp
+++ b/UnitTests/PeerMembersTest.cpp
@@ -45,14 +45,14 @@
   }
 
   void Put(const std::vector<StoreItem>& aItems) {
-    ListCopy whole;
+    ListUpdate whole;
     whole.items = aItems;
     members->OnEntries(whole);
   }
 
   std::string Asked() {
     std::string text;
-    for (const std::string& address : members->TakeTellers()) {
+    for (const std::string& address : members->NextSyncSources()) {
       text += address + " ";
     }
     return text;
@@ -63,10 +63,10 @@
   void Restored_MembersThatTheCopyLacks_AreKeptForAWhile() {
     members->OnRestored();
     this->Put({});
-    CPPUNIT_ASSERT(members->HasTeller());
+    CPPUNIT_ASSERT(members->HasSyncSource());
     clock.Advance(4s);
     this->Put({});
-    CPPUNIT_ASSERT(!members->HasTeller());
+    CPPUNIT_ASSERT(!members->HasSyncSource());
   }
 
   void setUp() override {
@@ -79,7 +79,7 @@
   }
 
   void Teller_FirstOfTheDomain_IsTheOnlyOneAsked() {
-    CPPUNIT_ASSERT(members->HasTeller());
+    CPPUNIT_ASSERT(members->HasSyncSource());
     CPPUNIT_ASSERT_EQUAL(std::string("h1:1 "), this->Asked());
   }
 
@@ -102,7 +102,7 @@
 
   void Teller_OfAnotherDomain_IsNotAsked() {
     this->Put({Entry("d0", "b", "h0:1"), Entry("d4", "a", "h4:1")});
-    CPPUNIT_ASSERT(!members->HasTeller());
+    CPPUNIT_ASSERT(!members->HasSyncSource());
     CPPUNIT_ASSERT_EQUAL(std::string(), this->Asked());
   }
 
@@ -123,7 +123,7 @@
       members->OnAnswer("h1:1", 3s);
     }
     CPPUNIT_ASSERT_EQUAL(std::string("h2:1 "), this->Asked());
-    CPPUNIT_ASSERT(members->HasTeller());
+    CPPUNIT_ASSERT(members->HasSyncSource());
     members->OnAnswer("h1:1", 100ms);
     CPPUNIT_ASSERT_EQUAL(std::string("h1:1 "), this->Asked());
   }
@@ -132,7 +132,7 @@
     for (int i = 0; i < 7; ++i) {
       this->Asked();
     }
-    CPPUNIT_ASSERT(!members->HasTeller());
+    CPPUNIT_ASSERT(!members->HasSyncSource());
     clock.Advance(2s);
     CPPUNIT_ASSERT_EQUAL(std::string("h1:1 "), this->Asked());
     CPPUNIT_ASSERT_EQUAL(std::string("h2:1 "), this->Asked());
@@ -141,31 +141,31 @@
 
   void Entries_OfOneThatHasJustAsked_AreNotNeeded() {
     this->Put({});
-    CPPUNIT_ASSERT(!members->HasTeller());
-    members->OnAsker({"d1", "h1:1", "a", 1000});
+    CPPUNIT_ASSERT(!members->HasSyncSource());
+    members->OnQueryFrom({"d1", "h1:1", "a", 1000});
     CPPUNIT_ASSERT_EQUAL(std::string("h1:1 "), this->Asked());
     this->Put({});
-    CPPUNIT_ASSERT(members->HasTeller());
+    CPPUNIT_ASSERT(members->HasSyncSource());
     clock.Advance(11s);
     this->Asked();
-    CPPUNIT_ASSERT(!members->HasTeller());
+    CPPUNIT_ASSERT(!members->HasSyncSource());
   }
 
   void AskStore_FirstOfTheDomain_OnceItKnowsWhoIsThere() {
     members = std::make_unique<PeerMembers>(settings, clock);
     clock.Advance(500ms);
-    CPPUNIT_ASSERT(!members->MayAskStore());
-    members->OnNamed({});
-    CPPUNIT_ASSERT(!members->MayAskStore());
+    CPPUNIT_ASSERT(!members->MayQueryStore());
+    members->OnPeersDiscovered({});
+    CPPUNIT_ASSERT(!members->MayQueryStore());
     clock.Advance(300ms);
-    CPPUNIT_ASSERT(members->MayAskStore());
-    members->OnAsker({"d1", "h1:1", "a", 1000});
-    CPPUNIT_ASSERT(!members->MayAskStore());
+    CPPUNIT_ASSERT(members->MayQueryStore());
+    members->OnQueryFrom({"d1", "h1:1", "a", 1000});
+    CPPUNIT_ASSERT(!members->MayQueryStore());
   }
 
   void AskStore_OneOfFew_Always() {
     this->Put({Entry("d1", "a", "h1:1"), Entry("d3", "a", "h3:1")});
-    CPPUNIT_ASSERT(members->MayAskStore());
+    CPPUNIT_ASSERT(members->MayQueryStore());
   }
 
   /// The fixture's daemon with 99 others of its domain, two of them before it.
@@ -182,13 +182,13 @@
   void AskStore_OneOfMany_OnlyWhenNobodyAnswers() {
     this->PutMany();
     members->OnAnswer("h1:1", 100ms);
-    CPPUNIT_ASSERT(!members->MayAskStore());
+    CPPUNIT_ASSERT(!members->MayQueryStore());
     clock.Advance(2900ms);
-    CPPUNIT_ASSERT(!members->MayAskStore());
+    CPPUNIT_ASSERT(!members->MayQueryStore());
     clock.Advance(4s);
-    CPPUNIT_ASSERT(members->MayAskStore());
+    CPPUNIT_ASSERT(members->MayQueryStore());
     members->OnAnswer("h1:1", 3s);
-    CPPUNIT_ASSERT(!members->MayAskStore());
+    CPPUNIT_ASSERT(!members->MayQueryStore());
   }
 
   // Each of 300 daemons became a teller in turn, and lists were told on that
@@ -199,22 +199,22 @@
     this->PutMany();
     for (Micros passed{0}; passed < 9s; passed += 250ms) {
       clock.Advance(250ms);
-      for (const std::string& address : members->TakeTellers()) {
+      for (const std::string& address : members->NextSyncSources()) {
         members->OnAnswer(address, passed);
       }
     }
     const auto passedOver = std::count_if(
         members->All().begin(), members->All().end(),
-        [](const auto& aEntry) { return aEntry.second.isPassedOver; });
+        [](const auto& aEntry) { return aEntry.second.isSkipped; });
     CPPUNIT_ASSERT(passedOver >= 3);
     CPPUNIT_ASSERT(passedOver <= 6);
-    CPPUNIT_ASSERT(!members->MayAskStore());
+    CPPUNIT_ASSERT(!members->MayQueryStore());
   }
 
   void AskStore_Alone_AtOnce() {
     members = std::make_unique<PeerMembers>(settings, clock);
-    members->BeginAlone();
-    CPPUNIT_ASSERT(members->MayAskStore());
+    members->StartWithoutPeers();
+    CPPUNIT_ASSERT(members->MayQueryStore());
   }
 
   // Hundreds that all seeds leave without an answer do not begin together.
@@ -230,7 +230,7 @@
     const auto count = [&daemons] {
       return std::count_if(
           daemons.begin(), daemons.end(),
-          [](const PeerMembers& aDaemon) { return aDaemon.MayAskStore(); });
+          [](const PeerMembers& aDaemon) { return aDaemon.MayQueryStore(); });
     };
     clock.Advance(990ms);
     CPPUNIT_ASSERT(count() == 0);
@@ -247,16 +247,16 @@
   void AskStore_ListedInAnEarlierLife_AtOnce() {
     settings.name = "d1";
     members = std::make_unique<PeerMembers>(settings, clock);
-    members->OnEarlyEntries(
+    members->OnBootstrapEntries(
         {Entry("d1", "a", "h1:1"), Entry("d2", "a", "h2:1")});
-    CPPUNIT_ASSERT(members->MayAskStore());
+    CPPUNIT_ASSERT(members->MayQueryStore());
   }
 
   void First_OfADomain_AreNamedWithoutTheAsker() {
     const auto names = [this](const std::string& aDomain,
-                              const std::string& aAsker) {
+                              const std::string& aRequester) {
       std::string text;
-      for (const PeerName& one : members->FirstOf(aDomain, aAsker)) {
+      for (const PeerName& one : members->FirstOf(aDomain, aRequester)) {
         text += one.name + " ";
       }
       return text;
@@ -267,23 +267,23 @@
   }
 
   void MayRely_OnFreshLists_UntilTheyAreOld() {
-    CPPUNIT_ASSERT(!members->MayRely());
+    CPPUNIT_ASSERT(!members->HasFreshSyncSource());
     members->OnAnswer("h1:1", 100ms);
-    CPPUNIT_ASSERT(members->MayRely());
-    clock.Advance(LongestReliance(settings) + 1ms);
-    CPPUNIT_ASSERT(!members->MayRely());
+    CPPUNIT_ASSERT(members->HasFreshSyncSource());
+    clock.Advance(MaxSyncStaleness(settings) + 1ms);
+    CPPUNIT_ASSERT(!members->HasFreshSyncSource());
   }
 
   void MayRely_OnListsThatWereOldWhenTold_IsFalse() {
     members->OnAnswer("h1:1", 3s);
     members->OnAnswer("h1:1", std::nullopt);
-    CPPUNIT_ASSERT(!members->MayRely());
+    CPPUNIT_ASSERT(!members->HasFreshSyncSource());
   }
 
   void Entries_OfAnotherProcess_StartAnew() {
     members->OnAnswer("h1:1", 100ms);
     this->Put({Entry("d1", "a", "h9:1")});
-    CPPUNIT_ASSERT(!members->MayRely());
+    CPPUNIT_ASSERT(!members->HasFreshSyncSource());
     CPPUNIT_ASSERT_EQUAL(std::string("h9:1 "), this->Asked());
   }
 
--- a/UnitTests/PeerMemoryTest.cpp
+++ b/UnitTests/PeerMemoryTest.cpp
@@ -1,7 +1,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "Zincstep/Edge/DaemonEntry.h"
-#include "Zincstep/Edge/PeerExchange.h"
+#include "Zincstep/Edge/PeerProtocol.h"
 #include "platform/Platform.h"
 
 namespace zincstep {
@@ -87,15 +87,15 @@
   asio::io_context silent;
   SystemClock clock;
   AbsentStore store;
-  StoreEras eras;
+  StoreEraTracker eras;
   Metrics metrics;
   Random random{1};
   EdgeSettings settings;
   std::unique_ptr<ClusterDecoder> decoder = platform::MakeDecoder();
   ClusterView view{*decoder, *this, clock};
-  std::unique_ptr<PeerExchange> exchange;
+  std::unique_ptr<PeerProtocol> exchange;
   NoListener noListener;
-  std::unique_ptr<PeerHub> askers;
+  std::unique_ptr<PeerTransport> askers;
   std::vector<std::unique_ptr<SilentReader>> readers;
 
   /// All readers ask for the configuration, until all are answered.
@@ -125,14 +125,14 @@
     settings.peerListen =
         "127.0.0.1:" + std::to_string(port.local_endpoint().port());
     port.close();
-    exchange = std::make_unique<PeerExchange>(
+    exchange = std::make_unique<PeerProtocol>(
         loop, settings, store, view, clock, random, metrics, eras,
         [](const UpstreamPtr&) {},
         [](const CrashGossip&, const std::string&) {},
         [](const LimitGossip&, const std::string&, const std::string&) {},
         [] { return std::nullopt; });
     CPPUNIT_ASSERT(exchange->Start().has_value());
-    askers = MakePeerHub({}, noListener);
+    askers = MakePeerTransport({}, noListener);
     CPPUNIT_ASSERT(askers->Start().has_value());
     for (int i = 0; i < kAskers; ++i) {
       readers.push_back(std::make_unique<SilentReader>(silent));
@@ -169,12 +169,12 @@
                              {5, 0}});
     }
     view.OnUpstreams(range);
-    ClusterCopy copy;
-    ListCopy& list = copy.upstreams.emplace();
+    ClusterUpdate copy;
+    ListUpdate& list = copy.upstreams.emplace();
     list.at = {6, 0};
     list.isWhole = false;
     list.digest = 1;
-    view.OnCopy(copy, clock.Now());
+    view.OnUpdate(copy, clock.Now());
     CPPUNIT_ASSERT(view.Revisions().upstreams.IsNone());
   }
 
--- a/UnitTests/PeerHubTest.cpp
+++ b/UnitTests/PeerTransportTest.cpp
@@ -24,8 +24,8 @@
   std::atomic<int> messages{0};
 };
 
-class PeerHubTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(PeerHubTest);
+class PeerTransportTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(PeerTransportTest);
   CPPUNIT_TEST(Send_SharedBytes_ComeBehindTheHead);
   CPPUNIT_TEST(Send_SharedBytesToSeveral_CountOnce);
   CPPUNIT_TEST(Send_PeerThatDoesNotRead_LosesWhatWaits);
@@ -39,12 +39,12 @@
   asio::io_context silent;
   CountingListener listener;
   CountingListener other;
-  std::unique_ptr<PeerHub> hub;
-  std::unique_ptr<PeerHub> reader;
+  std::unique_ptr<PeerTransport> transport;
+  std::unique_ptr<PeerTransport> reader;
   std::vector<std::unique_ptr<Tcp::acceptor>> silentPeers;
 
-  static std::string AddressOf(const PeerHub& aHub) {
-    return "127.0.0.1:" + std::to_string(aHub.Port());
+  static std::string AddressOf(const PeerTransport& aTransport) {
+    return "127.0.0.1:" + std::to_string(aTransport.Port());
   }
 
   /// Address of a peer that takes connections and reads nothing.
@@ -66,29 +66,29 @@
     }
   }
 
-  static PeerText Text(std::size_t aSize) {
+  static PeerFrame Text(std::size_t aSize) {
     return {std::string(aSize, 'x'), {}};
   }
 
  public:
   void setUp() override {
-    PeerHubSettings settings;
-    settings.maxHeldBytes = kMost;
-    settings.maxUntakenBytes = kMost;
-    hub = MakePeerHub(settings, listener);
-    reader = MakePeerHub(settings, other);
-    CPPUNIT_ASSERT(hub->Start().has_value());
+    PeerTransportSettings settings;
+    settings.maxTotalQueuedBytes = kMost;
+    settings.maxUnconsumedBytes = kMost;
+    transport = MakePeerTransport(settings, listener);
+    reader = MakePeerTransport(settings, other);
+    CPPUNIT_ASSERT(transport->Start().has_value());
     CPPUNIT_ASSERT(reader->Start().has_value());
   }
 
   void tearDown() override {
-    hub->Stop();
+    transport->Stop();
     reader->Stop();
   }
 
   void Send_SharedBytes_ComeBehindTheHead() {
     const auto shared = std::make_shared<const std::string>("shared");
-    hub->Send(AddressOf(*reader), PeerText{"head", {shared, shared}});
+    transport->Send(AddressOf(*reader), PeerFrame{"head", {shared, shared}});
     WaitFor([this] { return other.messages == 1; });
     CPPUNIT_ASSERT_EQUAL(std::size_t{16}, other.bytes.load());
   }
@@ -100,11 +100,11 @@
         std::make_shared<const std::string>(std::string(kSize, 'x'));
     std::size_t most = 0;
     for (int i = 0; i < kPeers; ++i) {
-      hub->Send(this->SilentPeer(), PeerText{"head", {shared}});
-      most = std::max<std::size_t>(most, hub->Traffic().heldBytes);
+      transport->Send(this->SilentPeer(), PeerFrame{"head", {shared}});
+      most = std::max<std::size_t>(most, transport->Traffic().totalQueuedBytes);
     }
     CPPUNIT_ASSERT(most <= kSize + 4 * kPeers);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, hub->Traffic().dropped);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, transport->Traffic().dropped);
   }
 
   void Send_PeerThatDoesNotRead_LosesWhatWaits() {
@@ -112,43 +112,43 @@
     constexpr std::size_t kSize = 100'000;
     std::size_t most = 0;
     for (int i = 0; i < 400; ++i) {
-      hub->Send(peer, Text(kSize));
-      most = std::max<std::size_t>(most, hub->Traffic().heldBytes);
+      transport->Send(peer, Text(kSize));
+      most = std::max<std::size_t>(most, transport->Traffic().totalQueuedBytes);
     }
-    WaitFor([this] { return hub->Traffic().dropped > 0; });
+    WaitFor([this] { return transport->Traffic().dropped > 0; });
     CPPUNIT_ASSERT(most <= kMost);
   }
 
   void Send_BesideAPeerThatDoesNotRead_Arrives() {
     const std::string peer = this->SilentPeer();
     for (int i = 0; i < 400; ++i) {
-      hub->Send(peer, Text(100'000));
+      transport->Send(peer, Text(100'000));
     }
-    hub->Send(AddressOf(*reader), Text(100));
+    transport->Send(AddressOf(*reader), Text(100));
     WaitFor([this] { return other.messages == 1; });
-    CPPUNIT_ASSERT(hub->Traffic().heldBytes <= kMost);
+    CPPUNIT_ASSERT(transport->Traffic().totalQueuedBytes <= kMost);
   }
 
   void Receive_ListenerThatDoesNotTake_IsHeldUp() {
     constexpr std::size_t kSize = 100'000;
     for (int i = 0; i < 400; ++i) {
-      reader->Send(AddressOf(*hub), Text(kSize));
+      reader->Send(AddressOf(*transport), Text(kSize));
     }
     WaitFor([this] { return listener.bytes > kMost; });
     // One message may be under way as the bound is reached.
-    CPPUNIT_ASSERT(hub->Traffic().untakenBytes <= kMost + 2 * kSize);
+    CPPUNIT_ASSERT(transport->Traffic().unconsumedBytes <= kMost + 2 * kSize);
   }
 
   void Receive_OnceTaken_GoesOn() {
     this->Receive_ListenerThatDoesNotTake_IsHeldUp();
     const std::size_t before = listener.bytes;
-    hub->OnTaken(hub->Traffic().untakenBytes);
-    reader->Send(AddressOf(*hub), Text(100));
+    transport->OnTaken(transport->Traffic().unconsumedBytes);
+    reader->Send(AddressOf(*transport), Text(100));
     WaitFor([&] { return listener.bytes > before; });
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(PeerHubTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(PeerTransportTest);
 
 }  // namespace
 }  // namespace zincstep
--- a/UnitTests/PlacementKeeperTest.cpp
+++ b/UnitTests/PlacementControllerTest.cpp
@@ -6,7 +6,7 @@
 
 #include "UnitTests/ScriptedControl.h"
 #include "Zincstep/Cluster/Cluster.h"
-#include "Zincstep/Cluster/PlacementKeeper.h"
+#include "Zincstep/Cluster/PlacementController.h"
 #include "platform/Platform.h"
 
 namespace zincstep {
@@ -58,9 +58,9 @@
   std::deque<std::pair<PlanTask, Done>> held;
 };
 
-class PlacementKeeperTest : public CppUnit::TestFixture,
-                            private ClusterListener {
-  CPPUNIT_TEST_SUITE(PlacementKeeperTest);
+class PlacementControllerTest : public CppUnit::TestFixture,
+                                private ClusterListener {
+  CPPUNIT_TEST_SUITE(PlacementControllerTest);
   CPPUNIT_TEST(Duty_GapThatStays_IsOrderedAway);
   CPPUNIT_TEST(Duty_UpstreamsStillJoining_OrdersNothing);
   CPPUNIT_TEST(Duty_TakenAsTheStoreComesBack_WaitsForLapsedEntries);
@@ -101,7 +101,7 @@
   GrantingStore store;
   ScriptedControl control;
   HeldPlans plans;
-  std::unique_ptr<PlacementKeeper> keeper;
+  std::unique_ptr<PlacementController> controller;
   std::uint64_t revision = 10;
 
   /// An upstream writes its entry; its memory is for those layers alone.
@@ -125,7 +125,7 @@
   void Run(Micros aSpan) {
     for (Micros passed{0}; passed < aSpan; passed += 250ms) {
       clock.Advance(250ms);
-      keeper->Tick();
+      controller->Tick();
     }
   }
 
@@ -133,18 +133,18 @@
   void setUp() override {
     view.OnConfiguration({"", Config(Service("m")), 5});
     CPPUNIT_ASSERT(view.Table() != nullptr);
-    PlacementKeeperSettings settings;
+    PlacementControllerSettings settings;
     settings.name = "d1";
     settings.key = "duty";
-    keeper = std::make_unique<PlacementKeeper>(settings, store, control, view,
-                                               plans, clock);
+    controller = std::make_unique<PlacementController>(settings, store, control,
+                                                       view, plans, clock);
   }
 
   void Duty_GapThatStays_IsOrderedAway() {
     this->Put("i1", 0, 4);
     this->Put("i2", 0, 4);
     this->Run(1s);
-    CPPUNIT_ASSERT(keeper->HasDuty());
+    CPPUNIT_ASSERT(controller->IsLeader());
     CPPUNIT_ASSERT_EQUAL(std::string("i1"), control.asked.at(0));
   }
 
@@ -169,12 +169,12 @@
   // The same day, second 37.3: the duty was taken 50 ms after an outage of the
   // store, and nine orders cut what ran at layers whose entries had lapsed.
   void Duty_TakenAsTheStoreComesBack_WaitsForLapsedEntries() {
-    view.OnStoreReached(false);
+    view.OnStoreReachable(false);
     this->Put("i1", 0, 4);
     this->Put("i2", 0, 4);
-    view.OnStoreReached(true);
+    view.OnStoreReachable(true);
     this->Run(2s);
-    CPPUNIT_ASSERT(keeper->HasDuty());
+    CPPUNIT_ASSERT(controller->IsLeader());
     CPPUNIT_ASSERT(control.asked.empty());
     this->Put("i3", 4, 8);
     this->Run(4s);
@@ -233,7 +233,7 @@
     this->Put("i1", 0, 4);
     this->Put("i2", 0, 4);
     this->Run(20s);
-    CPPUNIT_ASSERT(keeper->HasDuty());
+    CPPUNIT_ASSERT(controller->IsLeader());
     CPPUNIT_ASSERT_EQUAL(1, plans.started);
     CPPUNIT_ASSERT(control.asked.empty());
   }
@@ -293,14 +293,14 @@
   void Duty_StoreRestored_IsVoidAndTakenWhenItsLeaseIsOver() {
     this->Put("i1", 0, 8);
     this->Run(500ms);
-    CPPUNIT_ASSERT(keeper->HasDuty());
-    keeper->OnRestored();
+    CPPUNIT_ASSERT(controller->IsLeader());
+    controller->OnRestored();
     view.OnRestored(1);
-    CPPUNIT_ASSERT(!keeper->HasDuty());
+    CPPUNIT_ASSERT(!controller->IsLeader());
     this->Run(1750ms);
-    CPPUNIT_ASSERT(!keeper->HasDuty());
+    CPPUNIT_ASSERT(!controller->IsLeader());
     this->Run(750ms);
-    CPPUNIT_ASSERT(keeper->HasDuty());
+    CPPUNIT_ASSERT(controller->IsLeader());
   }
 
   // A plan that was begun in the earlier era gives no orders, though the
@@ -310,15 +310,15 @@
     this->Put("i1", 0, 4);
     this->Put("i2", 0, 4);
     this->Run(500ms);
-    keeper->OnRestored();
+    controller->OnRestored();
     store.era = 1;
-    keeper->OnHolder("");
+    controller->OnLeaderChanged("");
     plans.holds = false;
     clock.Advance(1900ms);
-    keeper->Tick();
+    controller->Tick();
     clock.Advance(100ms);
-    keeper->Tick();
-    CPPUNIT_ASSERT(keeper->HasDuty());
+    controller->Tick();
+    CPPUNIT_ASSERT(controller->IsLeader());
     const int before = plans.started;
     plans.LetGo();
     CPPUNIT_ASSERT(control.asked.empty());
@@ -340,7 +340,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(PlacementKeeperTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(PlacementControllerTest);
 
 }  // namespace
 }  // namespace zincstep
--- a/UnitTests/PlacementOrdersTest.cpp
+++ b/UnitTests/PlacementOrdersTest.cpp
@@ -28,7 +28,7 @@
   FakeClock clock;
   ClusterView view{*decoder, *this, clock};
   ScriptedControl control;
-  bool hasDuty = true;
+  bool isLeader = true;
   PlacementOrdersSettings settings;
   std::unique_ptr<PlacementOrders> orders;
   std::uint64_t revision = 10;
@@ -48,7 +48,7 @@
   /// One order that has been taken, at the end of the time for its load.
   void RunOneOrder() {
     this->Put("i1");
-    orders->Give(model, {"i1", kWanted, GiveUp::CutRequests});
+    orders->Give(model, {"i1", kWanted, GiveUp::AbortRequests});
     control.Answer(UpstreamReport{});
     control.TakeOrder();
     CPPUNIT_ASSERT(this->Expected("i1") == kWanted);
@@ -62,18 +62,18 @@
     model.layers = 8;
     model.loadTime = 8s;
     orders = std::make_unique<PlacementOrders>(settings, control, view, clock,
-                                               [this] { return hasDuty; });
+                                               [this] { return isLeader; });
   }
 
   // With 3,000 orders at once a daemon had 6,354 connections and ended.
   void Give_ManyOrders_CallsFewUpstreamsAtOnce() {
-    const int many = 3 * settings.mostCalled;
+    const int many = 3 * settings.maxConcurrentCalls;
     for (int i = 0; i < many; ++i) {
       this->Put("i" + std::to_string(i));
       orders->Give(model,
-                   {"i" + std::to_string(i), kWanted, GiveUp::CutRequests});
+                   {"i" + std::to_string(i), kWanted, GiveUp::AbortRequests});
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t(settings.mostCalled),
+    CPPUNIT_ASSERT_EQUAL(std::size_t(settings.maxConcurrentCalls),
                          control.asked.size());
     clock.Advance(1min);
     CPPUNIT_ASSERT(this->Expected("i" + std::to_string(many - 1)) == kWanted);
@@ -85,13 +85,13 @@
   }
 
   void Give_DutyLostMeanwhile_GivesNoMore() {
-    settings.mostCalled = 1;
+    settings.maxConcurrentCalls = 1;
     this->setUp();
     for (const char* id : {"i1", "i2"}) {
       this->Put(id);
-      orders->Give(model, {id, kWanted, GiveUp::CutRequests});
+      orders->Give(model, {id, kWanted, GiveUp::AbortRequests});
     }
-    hasDuty = false;
+    isLeader = false;
     control.Answer(UpstreamReport{});
     CPPUNIT_ASSERT(control.places.empty());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.asked.size());
--- a/UnitTests/PlacementPlannerTest.cpp
+++ b/UnitTests/PlacementPlannerTest.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 /// A pool whose domains have been as they are for a while, with that demand.
-PlacementSituation Steady(const std::vector<PlacedUpstream>& aPool,
-                          double aDemand) {
-  PlacementSituation situation{aPool, ObservedDemand{aDemand, 0}, {}};
+PlacementInput Steady(const std::vector<PlacedUpstream>& aPool,
+                      double aDemand) {
+  PlacementInput situation{aPool, ObservedDemand{aDemand, 0}, {}};
   for (const PlacedUpstream& one : aPool) {
-    situation.steadyDomains.insert(one.failureDomain);
+    situation.stableDomains.insert(one.failureDomain);
   }
   return situation;
 }
@@ -152,7 +152,7 @@
 
   void Plan_OrderUnderWay_GetsNoOther() {
     for (PlacedUpstream& upstream : pool) {
-      upstream.takesOrders = false;
+      upstream.acceptsOrders = false;
     }
     CPPUNIT_ASSERT(planner.Plan(model, {pool, {}, {}}).empty());
   }
@@ -226,9 +226,9 @@
   /// Steps of the first layout, and of a look at what it has left.
   std::pair<std::uint64_t, std::uint64_t> StepsOf(int aTimes) {
     auto large = Domains(aTimes);
-    PlanEffort first;
+    PlanCost first;
     Carry(large, planner.Plan(model, {large, {}, {}}, &first));
-    PlanEffort look;
+    PlanCost look;
     planner.Plan(model, Steady(large, 1e6 * aTimes), &look);
     return {first.steps, look.steps};
   }
@@ -339,7 +339,7 @@
   /// What the layout of one domain is worth at that demand.
   double WorthOf(const std::vector<PlacedUpstream>& aPool,
                  double aDemand) const {
-    const LayoutWorthSettings settings;
+    const LayoutScoreSettings settings;
     return DomainLayout(model, settings, aDemand, aPool).Score().worth;
   }
 
@@ -371,7 +371,7 @@
     for (const char* domain : {"a", "b", "c"}) {
       std::find_if(pool.begin(), pool.end(), [&](const auto& aOne) {
         return aOne.failureDomain == domain;
-      })->takesOrders = false;
+      })->acceptsOrders = false;
     }
     CPPUNIT_ASSERT(planner.Plan(model, Steady(pool, 360'000)).empty());
   }
--- a/UnitTests/PoolReplay.cpp
+++ b/UnitTests/PoolReplay.cpp
@@ -163,7 +163,7 @@
                this->TellSuspicion(domain, index);
              });
   } else {
-    daemon.view[*refused]->PassOver(this->now + kPassOver);
+    daemon.view[*refused]->EjectUntil(this->now + kPassOver);
   }
   if (aTriesLeft <= 1) {
     this->Refuse(daemon.domain);
@@ -286,7 +286,7 @@
     this->At(at, [this, drawn, pace = aTrouble.pace] {
       for (Daemon& daemon : this->daemons) {
         for (const std::size_t index : drawn) {
-          daemon.view[index]->SetPace(pace, this->now);
+          daemon.view[index]->SetSlowdown(pace, this->now);
         }
       }
     });
--- a/UnitTests/RelayFixture.h
+++ b/UnitTests/RelayFixture.h
@@ -30,7 +30,7 @@
     this->seen.push_back(aMessage.head);
     this->script(aConnection, aMessage);
   }
-  void OnCallerGone(CallerConnection&) override { this->gone += 1; }
+  void OnCallerDisconnected(CallerConnection&) override { this->gone += 1; }
 
   const std::string& Address() const { return this->address; }
   /// From now on its port is closed; not to be called while it takes a request.
@@ -98,8 +98,8 @@
   void Begin() {
     relay = std::make_unique<Relay>(
         RelayContext{loop, settings, *dialect, view, counted, clock, random,
-                     metrics, probe, crashes, crashWatch, kept, limits, chains,
-                     services, demand, budgets, stop, [] {}});
+                     metrics, probe, crashes, crashDetector, kept, limits,
+                     chains, services, demand, budgets, stop, [] {}});
     listener = std::make_unique<CallerListener>(loop, *relay, clock);
     CPPUNIT_ASSERT(listener->Start("127.0.0.1:0").has_value());
   }
@@ -117,9 +117,10 @@
   CallLimits limits{CallLimitSettings{"self", ""}, clock, metrics,
                     [](const std::vector<LimitNotice>&) {}};
   CountedControl counted{*control, view.Directory(), limits, clock};
-  MemberProbe probe{MemberProbeSettings{}, counted, clock, [](Evidence) {}};
-  CrashLedger crashes{CrashLedgerSettings{}};
-  CrashWatch crashWatch{crashes, *control, clock, *this};
+  UpstreamProber probe{UpstreamProberSettings{}, counted, clock,
+                       [](Provenance) {}};
+  CrashTracker crashes{CrashTrackerSettings{}};
+  CrashDetector crashDetector{crashes, *control, clock, *this};
   ChainChooser chains{ChainChooserSettings{}};
   ServiceChooser services{ServiceChooserSettings{}};
   DemandMeter demand;
@@ -134,7 +135,7 @@
 
   void Configure(const std::string& aText) {
     view.OnConfiguration({"", aText, 10});
-    view.OnProof({10}, clock.Now());
+    view.OnValidated({10}, clock.Now());
   }
 
   ScriptedUpstream& AddUpstream(const std::string& aService,
@@ -193,12 +194,12 @@
   }
 
   /// Sends a request and runs the loop until its answer is there.
-  Result<HttpAnswer> Ask(const std::string& aRequest) {
-    std::optional<Result<HttpAnswer>> answer;
-    FetchWhole(loop, {asio::ip::address_v4::loopback(), this->listener->Port()},
-               aRequest, 10s, [&](Result<HttpAnswer> aAnswer) {
-                 answer = std::move(aAnswer);
-               });
+  Result<HttpResponse> Ask(const std::string& aRequest) {
+    std::optional<Result<HttpResponse>> answer;
+    FetchResponse(
+        loop, {asio::ip::address_v4::loopback(), this->listener->Port()},
+        aRequest, 10s,
+        [&](Result<HttpResponse> aAnswer) { answer = std::move(aAnswer); });
     this->RunUntil([&] { return answer.has_value(); });
     return *answer;
   }
@@ -231,7 +232,7 @@
   void OnBlocked(RequestFingerprint aRequest) override {
     relay->OnBlocked(aRequest);
   }
-  void OnCrashSuspicion() override {}
+  void OnUpstreamSuspected() override {}
 };
 
 }  // namespace zincstep
--- a/UnitTests/RelayTest.cpp
+++ b/UnitTests/RelayTest.cpp
@@ -165,7 +165,7 @@
         refill.expires_after(200ms);
         refill.async_wait([&](const asio::error_code&) {
           RetryBudget& budget = budgets.at("model");
-          budget.SetMost(10);
+          budget.SetMaxSaved(10);
           for (int request = 0; request < 100; ++request) {
             budget.OnRequest();
           }
@@ -197,7 +197,7 @@
     config.replace(config.find("\"resumable\":true"), 16,
                    "\"resumable\":false");
     view.OnConfiguration({"", config, 20});
-    view.OnProof({20}, clock.Now());
+    view.OnValidated({20}, clock.Now());
     this->AddUpstream("model", [&](const auto& aTo, const auto& aMessage) {
       aTo->BeginChunks(200, SealedHeaders(aMessage));
       aTo->AppendChunk("id: 1\ndata: a\n\n");
@@ -229,14 +229,14 @@
     CPPUNIT_ASSERT(!isOver);
   }
 
-  double RetryAfter(const Result<HttpAnswer>& aAnswer) {
+  double RetryAfter(const Result<HttpResponse>& aAnswer) {
     return std::stod(std::string(FindHeader(aAnswer->headers, "Retry-After")));
   }
 
   // Those refused on a wrong belief came back after 2 to 6 s, long after the
   // belief was mended.
   void Stream_RefusedWithRoom_IsBackSoon() {
-    settings.mostSends = 1;
+    settings.maxSends = 1;
     this->AddUpstream("model", [](const auto& aTo, const auto& aMessage) {
       auto headers = SealedHeaders(aMessage);
       headers.push_back({"X-Not-Executed", "1"});
--- a/UnitTests/RestoredStoreTest.cpp
+++ b/UnitTests/RestoredStoreTest.cpp
@@ -145,7 +145,7 @@
     this->Restore();
     view.OnConfiguration({"", ConfigText(7), {40, 2}});
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, view.ConfigVersion());
-    CPPUNIT_ASSERT(view.ConfigFoundAt() == StoreRevision({40, 2}));
+    CPPUNIT_ASSERT(view.ConfigStoreRevision() == StoreRevision({40, 2}));
   }
 
   void Configuration_OlderWrittenAgain_StaysAsItIs() {
@@ -172,9 +172,9 @@
     view.OnConfiguration({"", ConfigText(9), {80, 1}});
     this->Restore();
     view.OnConfiguration({"", ConfigText(7), {40, 2}});
-    fresh.OnCopy(view.CopyFor(fresh.Revisions()), clock.Now());
+    fresh.OnUpdate(view.UpdateFor(fresh.Revisions()), clock.Now());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, fresh.ConfigVersion());
-    view.OnCopy(fresh.CopyFor(view.Revisions()), clock.Now());
+    view.OnUpdate(fresh.UpdateFor(view.Revisions()), clock.Now());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, view.ConfigVersion());
   }
 
@@ -183,8 +183,8 @@
     view.OnConfiguration({"", ConfigText(9), {80, 1}});
     this->Restore();
     clock.Advance(10s);
-    view.OnProof({80, 1}, clock.Now());
-    CPPUNIT_ASSERT(!view.ProofAge());
+    view.OnValidated({80, 1}, clock.Now());
+    CPPUNIT_ASSERT(!view.ValidationAge());
   }
 
   void Proof_BeforeTheOperatorsCanHaveWritten_CountsNothing() {
@@ -192,55 +192,55 @@
     this->Restore();
     view.OnConfiguration({"", ConfigText(9), {40, 2}});
     clock.Advance(1s);
-    view.OnProof({40, 2}, clock.Now());
-    CPPUNIT_ASSERT(!view.ProofAge());
+    view.OnValidated({40, 2}, clock.Now());
+    CPPUNIT_ASSERT(!view.ValidationAge());
     clock.Advance(1s);
-    view.OnProof({40, 2}, clock.Now());
-    CPPUNIT_ASSERT(view.ProofAge().has_value());
+    view.OnValidated({40, 2}, clock.Now());
+    CPPUNIT_ASSERT(view.ValidationAge().has_value());
   }
 
   void Proof_FromBefore_GoesOnToAge() {
     view.OnConfiguration({"", ConfigText(9), {80, 1}});
-    view.OnProof({80, 1}, clock.Now());
+    view.OnValidated({80, 1}, clock.Now());
     clock.Advance(1s);
     this->Restore();
-    CPPUNIT_ASSERT(view.ProofAge() == 1s);
+    CPPUNIT_ASSERT(view.ValidationAge() == 1s);
   }
 
   void Start_UntilAPeerIsHeard_ProofsWait() {
     view.AwaitPeers(clock.Now() + 600ms);
     view.OnConfiguration({"", ConfigText(7), {40, 2}});
     const Instant began = clock.Now();
-    view.OnProof({40, 2}, began);
-    CPPUNIT_ASSERT(!view.ProofAge());
+    view.OnValidated({40, 2}, began);
+    CPPUNIT_ASSERT(!view.ValidationAge());
     clock.Advance(100ms);
-    view.OnPeersHeard();
-    CPPUNIT_ASSERT(view.ProofAge() == 100ms);
+    view.OnPeersAnswered();
+    CPPUNIT_ASSERT(view.ValidationAge() == 100ms);
   }
 
   void Start_NoPeerAnswers_ProofsCountAfterAWhile() {
     view.AwaitPeers(clock.Now() + 600ms);
     view.OnConfiguration({"", ConfigText(7), {40, 2}});
-    view.OnProof({40, 2}, clock.Now());
+    view.OnValidated({40, 2}, clock.Now());
     clock.Advance(600ms);
     view.Tick();
-    CPPUNIT_ASSERT(view.ProofAge().has_value());
+    CPPUNIT_ASSERT(view.ValidationAge().has_value());
   }
 
   void Start_StoreInItsFirstEra_WaitsForNobody() {
     view.AwaitPeers(clock.Now() + 600ms);
     view.OnConfiguration({"", ConfigText(7), {40, 0}});
-    view.OnProof({40, 0}, clock.Now());
-    CPPUNIT_ASSERT(view.ProofAge().has_value());
+    view.OnValidated({40, 0}, clock.Now());
+    CPPUNIT_ASSERT(view.ValidationAge().has_value());
   }
 
   void Copy_OfAnEarlierEra_IsNotTold() {
     this->KnowTwo();
-    view.OnListsProven(clock.Now());
+    view.OnListsValidated(clock.Now());
     this->Restore();
-    const ClusterCopy copy = view.CopyFor({});
+    const ClusterUpdate copy = view.UpdateFor({});
     CPPUNIT_ASSERT(!copy.upstreams && !copy.daemons && !copy.listsAge);
-    CPPUNIT_ASSERT(!copy.proofAge);
+    CPPUNIT_ASSERT(!copy.validationAge);
   }
 
   void Copy_ToAnAskerOfAnEarlierEra_BringsItsListUp() {
@@ -251,7 +251,7 @@
     this->ListIn(view, {{"i3", EntryText("ready", "10.0.0.3"), {50, 2}}},
                  {51, 2});
     asker.OnRestored(2);
-    asker.OnCopy(view.CopyFor(asker.Revisions()), clock.Now());
+    asker.OnUpdate(view.UpdateFor(asker.Revisions()), clock.Now());
     CPPUNIT_ASSERT(asker.Directory().Find("i3") != nullptr);
     CPPUNIT_ASSERT(asker.Revisions().upstreams == StoreRevision({51, 2}));
   }
@@ -261,7 +261,7 @@
     ClusterView teller{*decoder, *this, clock};
     this->ListIn(teller, {{"i1", EntryText("ready"), {40, 2}}}, {45, 2});
     this->Restore();
-    view.OnCopy(teller.CopyFor(view.Revisions()), clock.Now());
+    view.OnUpdate(teller.UpdateFor(view.Revisions()), clock.Now());
     CPPUNIT_ASSERT(this->IsUsable("i2"));
     clock.Advance(3s);
     view.Tick();
--- a/UnitTests/RoutingTest.cpp
+++ b/UnitTests/RoutingTest.cpp
@@ -29,7 +29,7 @@
   CPPUNIT_TEST_SUITE_END();
 
   static FlowPlan PlanOf(const ChainPlanner& aPlanner, Instant aNow) {
-    return ComputeFlowPlan(aPlanner.GetFleet(), aPlanner.Strengths(aNow));
+    return ComputeFlowPlan(aPlanner.GetFleet(), aPlanner.UsableShares(aNow));
   }
 
   static Fleet FleetOf(std::uint64_t aSeed) {
@@ -44,7 +44,7 @@
     Random random(5);
     std::vector<Chain> chains;
     for (int i = 0; i < aCount; ++i) {
-      ChoiceFacts facts;
+      ChainChoiceInput facts;
       facts.now = this->now;
       chains.push_back(aPlanner.Choose(facts, random)->chain);
       aPlanner.OnStart(chains.back());
@@ -161,7 +161,7 @@
     ChainPlanner planner(FleetOf(1), {});
     planner.SetPlan(PlanOf(planner, this->now));
     Random random(1);
-    ChoiceFacts facts;
+    ChainChoiceInput facts;
     facts.now = this->now;
     const Choice choice = *planner.Choose(facts, random);
     CPPUNIT_ASSERT_EQUAL(0, choice.chain.path);
@@ -220,8 +220,8 @@
     CPPUNIT_ASSERT(loads.State(0) == ReplicaState::Suspect);
     loads.OnReport(0, 0, this->now + 600ms);
     CPPUNIT_ASSERT(loads.State(0) == ReplicaState::Up);
-    CPPUNIT_ASSERT(loads.Strength(0, this->now + 700ms) < 0.2);
-    CPPUNIT_ASSERT(loads.Strength(0, this->now + 11s) > 0.9);
+    CPPUNIT_ASSERT(loads.UsableShare(0, this->now + 700ms) < 0.2);
+    CPPUNIT_ASSERT(loads.UsableShare(0, this->now + 11s) > 0.9);
     // It failed again before a stream ended well: twice the wait.
     loads.OnFailure(0, this->now + 1s);
     loads.OnReport(0, 0, this->now + 1600ms);
--- a/UnitTests/ScriptedControl.h
+++ b/UnitTests/ScriptedControl.h
@@ -13,8 +13,8 @@
 /// Upstreams whose reports a test answers.
 class ScriptedControl final : public UpstreamControl {
  public:
-  void Reach(const UpstreamEntry& aUpstream, Micros,
-             std::function<void(Reachability)> aDone) override {
+  void ProbeConnection(const UpstreamEntry& aUpstream, Micros,
+                       std::function<void(Reachability)> aDone) override {
     this->reached.push_back(aUpstream.id);
     this->openReaches.push_back(std::move(aDone));
   }
@@ -28,8 +28,8 @@
     this->places.push_back(aUpstream.id);
     this->openPlaces.push_back(std::move(aDone));
   }
-  void Repath(const std::string&, const PoolChain&,
-              Done<OrderOutcome>) override {}
+  void Reroute(const std::string&, const PoolChain&,
+               Done<OrderOutcome>) override {}
 
   void Answer(double aPace) {
     UpstreamReport report;
@@ -45,7 +45,7 @@
     CPPUNIT_ASSERT(!this->openPlaces.empty());
     const auto done = std::move(this->openPlaces.front());
     this->openPlaces.pop_front();
-    done(OrderOutcome{OrderAnswer::Taken, ""});
+    done(OrderOutcome{OrderStatus::Taken, ""});
   }
 
   bool HasOpenReach() const { return !this->openReaches.empty(); }
--- a/UnitTests/SilentStoreWatchTest.cpp
+++ b/UnitTests/SilentStoreWatchTest.cpp
@@ -195,13 +195,13 @@
   void setUp() override {
     StoreFollowerSettings settings;
     settings.keys = {"op/config", kUpstreams, kOwn, kOwn};
-    settings.proofInterval = 1ms;
-    settings.firstRetry = 1ms;
+    settings.validationInterval = 1ms;
+    settings.initialBackoff = 1ms;
     for (PrefixPauses* pauses :
          {&settings.upstreamPauses, &settings.ownPauses}) {
       pauses->gather = 1ms;
-      pauses->firstRetry = 1ms;
-      pauses->longestRetry = 1ms;
+      pauses->initialBackoff = 1ms;
+      pauses->maxBackoff = 1ms;
     }
     follower =
         std::make_unique<StoreFollower>(loop, store, settings, view, clock);
--- a/UnitTests/SilentUpstreamConnectionTest.cpp
+++ b/UnitTests/SilentUpstreamConnectionTest.cpp
@@ -68,11 +68,11 @@
 
   /// Sends a request, whose answer will be added to `aAnswers`.
   void Send(const std::string& aPath,
-            std::vector<Result<HttpAnswer>>& aAnswers) {
-    FetchWhole(loop, {asio::ip::address_v4::loopback(), listener->Port()},
-               this->Request(aPath), 10s, [&](Result<HttpAnswer> aAnswer) {
-                 aAnswers.push_back(std::move(aAnswer));
-               });
+            std::vector<Result<HttpResponse>>& aAnswers) {
+    FetchResponse(loop, {asio::ip::address_v4::loopback(), listener->Port()},
+                  this->Request(aPath), 10s, [&](Result<HttpResponse> aAnswer) {
+                    aAnswers.push_back(std::move(aAnswer));
+                  });
   }
 
   std::string StreamRequest() {
@@ -135,7 +135,7 @@
     this->AddUpstream("plain", [&](const auto& aTo, const auto& aMessage) {
       open.emplace_back(aTo, aMessage);
     });
-    std::vector<Result<HttpAnswer>> answers;
+    std::vector<Result<HttpResponse>> answers;
     this->Send("/safe/", answers);
     this->Send("/safe/", answers);
     this->RunUntil([&] { return open.size() == 2; });
@@ -143,12 +143,12 @@
       connection->Answer(200, SealedHeaders(message), "ok");
     }
     this->RunUntil([&] { return answers.size() == 2; });
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, kept.Resting());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, kept.IdleCount());
     this->Send("/safe/", answers);
     this->RunUntil([&] { return open.size() == 3; });
     open.back().first->Abort();
     this->RunUntil([&] { return answers.size() == 3; });
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, kept.Resting());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, kept.IdleCount());
   }
 
   // All kept connections may be silent, and a request has few attempts: the
@@ -156,7 +156,7 @@
   void Request_SentAgain_HasAConnectionOfItsOwn() {
     std::vector<ConnectionPtr> rested;
     std::vector<ConnectionPtr> used;
-    std::vector<Result<HttpAnswer>> answers;
+    std::vector<Result<HttpResponse>> answers;
     for (int i = 0; i < 2; ++i) {
       this->AddUpstream("plain", [&](const auto& aTo, const auto& aMessage) {
         if (rested.size() < 2) {
--- a/UnitTests/StopPolicyTest.cpp
+++ b/UnitTests/StopPolicyTest.cpp
@@ -39,10 +39,10 @@
   }
 
   void ClosesResting_AfterTheBalancersNotice_IsTrue() {
-    CPPUNIT_ASSERT(!policy.ClosesResting(start));
+    CPPUNIT_ASSERT(!policy.ClosesIdle(start));
     policy.Begin(start);
-    CPPUNIT_ASSERT(!policy.ClosesResting(start + 1s));
-    CPPUNIT_ASSERT(policy.ClosesResting(start + 3s));
+    CPPUNIT_ASSERT(!policy.ClosesIdle(start + 1s));
+    CPPUNIT_ASSERT(policy.ClosesIdle(start + 3s));
   }
 
   void MayEnd_RequestsLeft_WaitsForTheGrace() {
--- a/UnitTests/StoreErasTest.cpp
+++ b/UnitTests/StoreEraTrackerTest.cpp
@@ -5,8 +5,8 @@
 namespace zincstep {
 namespace {
 
-class StoreErasTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(StoreErasTest);
+class StoreEraTrackerTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(StoreEraTrackerTest);
   CPPUNIT_TEST(Answer_FirstOfAll_TellsTheEra);
   CPPUNIT_TEST(Answer_OfANewEra_IsToldOnce);
   CPPUNIT_TEST(Answer_AskedForInAnEarlierEra_IsNotBelieved);
@@ -16,7 +16,7 @@
   CPPUNIT_TEST(Revision_OfALaterEra_GoesBeforeHigherNumbers);
   CPPUNIT_TEST_SUITE_END();
 
-  StoreEras eras;
+  StoreEraTracker eras;
   int restores = 0;
 
  public:
@@ -79,7 +79,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(StoreErasTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(StoreEraTrackerTest);
 
 }  // namespace
 }  // namespace zincstep
--- a/UnitTests/StoreFollowerTest.cpp
+++ b/UnitTests/StoreFollowerTest.cpp
@@ -93,8 +93,8 @@
   ClusterView view{*decoder, *this, clock};
   std::unique_ptr<StoreFollower> follower;
   bool mayAsk = true;
-  bool mayRely = false;
-  bool hasTeller = false;
+  bool hasFreshSyncSource = false;
+  bool hasSyncSource = false;
   std::size_t rank = 0;
   /// Daemons of the domain that the store had lately.
   std::size_t daemons = 3;
@@ -110,31 +110,32 @@
   void Begin(bool aPeersFirst) {
     StoreFollowerSettings settings;
     settings.keys = {"op/config", "servers/", "own/", "own/members/a/"};
-    settings.earlyPause = 1ms;
-    settings.reliancePause = 1ms;
+    settings.bootstrapInterval = 1ms;
+    settings.syncCheckInterval = 1ms;
     for (std::size_t i = 0; i < daemons; ++i) {
       store.daemons.items.push_back(
           {"own/members/a/d" + std::to_string(i), "text", {1}});
     }
-    settings.proofInterval = 5ms;
-    settings.firstRetry = 1ms;
-    settings.upstreamPauses.firstRetry = 1ms;
-    settings.upstreamPauses.longestRetry = 1ms;
-    settings.ownPauses.firstRetry = 1ms;
-    settings.ownPauses.longestRetry = 1ms;
+    settings.validationInterval = 5ms;
+    settings.initialBackoff = 1ms;
+    settings.upstreamPauses.initialBackoff = 1ms;
+    settings.upstreamPauses.maxBackoff = 1ms;
+    settings.ownPauses.initialBackoff = 1ms;
+    settings.ownPauses.maxBackoff = 1ms;
     follower =
         std::make_unique<StoreFollower>(loop, store, settings, view, clock);
-    follower->SetMayAsk([this] { return mayAsk; });
-    follower->SetMayRely([this] { return mayRely; });
-    follower->SetHasTeller([this] { return hasTeller; });
+    follower->SetMayQueryStore([this] { return mayAsk; });
+    follower->SetHasFreshSyncSource([this] { return hasFreshSyncSource; });
+    follower->SetHasSyncSource([this] { return hasSyncSource; });
     follower->SetRank([this] { return rank; });
-    follower->SetOnEarlyDaemons([this](const std::vector<StoreItem>& aItems) {
-      this->early += 1;
-      for (const StoreItem& item : aItems) {
-        CPPUNIT_ASSERT(item.key.starts_with("members/a/"));
-      }
-      return !aItems.empty();
-    });
+    follower->SetOnBootstrapDaemons(
+        [this](const std::vector<StoreItem>& aItems) {
+          this->early += 1;
+          for (const StoreItem& item : aItems) {
+            CPPUNIT_ASSERT(item.key.starts_with("members/a/"));
+          }
+          return !aItems.empty();
+        });
     follower->Start(aPeersFirst);
   }
 
@@ -160,7 +161,7 @@
   void StoreBack_WithATeller_LeavesTheListsToIt() {
     this->Begin(false);
     this->RunUntil([this] { return store.proofs >= 4; });
-    hasTeller = true;
+    hasSyncSource = true;
     store.isAway = false;
     const int before = store.ranges;
     this->RunUntil([this] { return store.proofs >= 20; });
@@ -171,7 +172,7 @@
   // some five calls each on a day with two such starts.
   void Start_FewDaemons_ReadTheListsAsTheyWereLately() {
     store.isAway = false;
-    hasTeller = true;
+    hasSyncSource = true;
     store.lately.at = {7};
     this->Begin(true);
     this->RunUntil([this] { return store.proofs >= 8; });
@@ -186,7 +187,7 @@
   // was answered in time.
   void Start_LateInItsDomain_LeavesALongListToPeers() {
     store.isAway = false;
-    hasTeller = true;
+    hasSyncSource = true;
     rank = 3;
     store.lately.at = {7};
     store.isLong = true;
@@ -201,7 +202,7 @@
   // daemons a fiftieth of the requests was refused.
   void Start_LateInItsDomain_ReadsAShortList() {
     store.isAway = false;
-    hasTeller = true;
+    hasSyncSource = true;
     rank = 3;
     store.lately.at = {7};
     this->Begin(true);
@@ -238,10 +239,10 @@
     this->RunUntil([this] { return store.proofs >= 2; });
     CPPUNIT_ASSERT(view.MayLackEntries());
     mayAsk = false;
-    mayRely = true;
-    view.OnListsProven(clock.Now());
+    hasFreshSyncSource = true;
+    view.OnListsValidated(clock.Now());
     loop.run_for(20ms);
-    view.OnListsProven(clock.Now());
+    view.OnListsValidated(clock.Now());
     loop.run_for(2500ms);
     CPPUNIT_ASSERT(!view.MayLackEntries());
   }
--- a/UnitTests/UpstreamLimitTest.cpp
+++ b/UnitTests/UpstreamLimitTest.cpp
@@ -58,9 +58,9 @@
     int open = kRequests;
     int served = 0;
     for (int i = 0; i < kRequests; ++i) {
-      FetchWhole(
+      FetchResponse(
           loop, {asio::ip::address_v4::loopback(), this->listener->Port()},
-          this->Attempt(aPath), 9s, [&](const Result<HttpAnswer>& aAnswer) {
+          this->Attempt(aPath), 9s, [&](const Result<HttpResponse>& aAnswer) {
             open -= 1;
             served += aAnswer && aAnswer->status == 200 ? 1 : 0;
           });
@@ -103,11 +103,11 @@
     CPPUNIT_ASSERT_EQUAL(200, this->Ask(this->Attempt("/llm/x"))->status);
     this->RunFor(1500ms);
     holdsNext = true;
-    std::optional<Result<HttpAnswer>> answer;
-    FetchWhole(loop, {asio::ip::address_v4::loopback(), this->listener->Port()},
-               this->Attempt("/llm/x"), 9s, [&](Result<HttpAnswer> aAnswer) {
-                 answer = std::move(aAnswer);
-               });
+    std::optional<Result<HttpResponse>> answer;
+    FetchResponse(
+        loop, {asio::ip::address_v4::loopback(), this->listener->Port()},
+        this->Attempt("/llm/x"), 9s,
+        [&](Result<HttpResponse> aAnswer) { answer = std::move(aAnswer); });
     this->RunFor(2400ms);
     CPPUNIT_ASSERT(held);
     CPPUNIT_ASSERT(static_cast<double>(limited.seen.size()) <=
--- a/UnitTests/MemberProbeTest.cpp
+++ b/UnitTests/UpstreamProberTest.cpp
@@ -1,13 +1,13 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "UnitTests/ScriptedControl.h"
-#include "Zincstep/Relay/MemberProbe.h"
+#include "Zincstep/Relay/UpstreamProber.h"
 
 namespace zincstep {
 namespace {
 
-class MemberProbeTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(MemberProbeTest);
+class UpstreamProberTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(UpstreamProberTest);
   CPPUNIT_TEST(Ask_NoAnswerTwice_Suspects);
   CPPUNIT_TEST(Ask_LostOnce_DoesNotSuspect);
   CPPUNIT_TEST(Ask_LateAnswer_EndsTheSuspicion);
@@ -26,11 +26,12 @@
 
   FakeClock clock;
   ScriptedControl control;
-  std::vector<Evidence> suspicions;
-  MemberProbeSettings settings;
-  MemberProbe probe{settings, control, clock, [this](Evidence aEvidence) {
-                      this->suspicions.push_back(aEvidence);
-                    }};
+  std::vector<Provenance> suspicions;
+  UpstreamProberSettings settings;
+  UpstreamProber probe{settings, control, clock,
+                       [this](Provenance aProvenance) {
+                         this->suspicions.push_back(aProvenance);
+                       }};
   UpstreamPtr upstream = Make("i1");
 
   static UpstreamPtr Make(const std::string& aId) {
@@ -50,7 +51,7 @@
     control.StaySilent();
     CPPUNIT_ASSERT(upstream->IsSuspect(clock.Now()));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, suspicions.size());
-    CPPUNIT_ASSERT(suspicions.front() == Evidence::Found);
+    CPPUNIT_ASSERT(suspicions.front() == Provenance::Observed);
   }
 
   void Ask_LostOnce_DoesNotSuspect() {
@@ -99,7 +100,7 @@
     for (int i = 0; i < 500; ++i) {
       probe.Ask(Make("many" + std::to_string(i)));
     }
-    CPPUNIT_ASSERT_EQUAL(static_cast<std::size_t>(settings.mostAtOnce),
+    CPPUNIT_ASSERT_EQUAL(static_cast<std::size_t>(settings.maxBurst),
                          control.asked.size());
   }
 
@@ -118,11 +119,11 @@
   }
 
   void Pace_OutOfDate_IsOne() {
-    upstream->SetPace(6, clock.Now(), Evidence::Told);
-    CPPUNIT_ASSERT_EQUAL(6.0, upstream->Pace(clock.Now()));
-    CPPUNIT_ASSERT_EQUAL(1.0, upstream->FoundPace(clock.Now()));
+    upstream->SetSlowdown(6, clock.Now(), Provenance::Told);
+    CPPUNIT_ASSERT_EQUAL(6.0, upstream->Slowdown(clock.Now()));
+    CPPUNIT_ASSERT_EQUAL(1.0, upstream->ObservedSlowdown(clock.Now()));
     clock.Advance(3s);
-    CPPUNIT_ASSERT_EQUAL(1.0, upstream->Pace(clock.Now()));
+    CPPUNIT_ASSERT_EQUAL(1.0, upstream->Slowdown(clock.Now()));
   }
 
   // tavua-orders-grown, trouble-3: daemons that were slow themselves took
@@ -156,19 +157,19 @@
     control.StaySilent();
     control.StaySilent();
     CPPUNIT_ASSERT(upstream->IsSuspect(clock.Now()));
-    CPPUNIT_ASSERT(suspicions.front() == Evidence::Told);
+    CPPUNIT_ASSERT(suspicions.front() == Provenance::Told);
     control.Answer(1);
     clock.Advance(5s);
     probe.Ask(upstream);
     control.StaySilent();
     control.StaySilent();
-    CPPUNIT_ASSERT(suspicions.back() == Evidence::Found);
+    CPPUNIT_ASSERT(suspicions.back() == Provenance::Observed);
   }
 
   // The kernel accepts connections for a process that is stopped: its
   // suspicion was taken back, and new streams were sent to it.
   void Ask_AtRestAndAcceptsConnections_StaysSuspect() {
-    upstream->RestUntil(clock.Now() + 10s);
+    upstream->BackOffUntil(clock.Now() + 10s);
     upstream->Suspect(clock.Now());
     clock.Advance(1ms);
     probe.Ask(upstream);
@@ -179,7 +180,7 @@
   }
 
   void Ask_AtRestAndAcceptsNoConnections_Suspects() {
-    upstream->RestUntil(clock.Now() + 10s);
+    upstream->BackOffUntil(clock.Now() + 10s);
     probe.Ask(upstream);
     control.EndReach(Reachability::Refused);
     control.EndReach(Reachability::Refused);
@@ -200,7 +201,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(MemberProbeTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(UpstreamProberTest);
 
 }  // namespace
 }  // namespace zincstep
--- a/UnitTests/UpstreamRestTest.cpp
+++ b/UnitTests/UpstreamRestTest.cpp
@@ -80,11 +80,11 @@
   void Reports_AtAnUpstreamThatAsksForRest_AreLeftOut() {
     ScriptedUpstream& tired = this->AddTired("model");
     holdsNext = true;
-    std::optional<Result<HttpAnswer>> answer;
-    FetchWhole(loop, {asio::ip::address_v4::loopback(), this->listener->Port()},
-               this->Attempt("/llm/x"), 9s, [&](Result<HttpAnswer> aAnswer) {
-                 answer = std::move(aAnswer);
-               });
+    std::optional<Result<HttpResponse>> answer;
+    FetchResponse(
+        loop, {asio::ip::address_v4::loopback(), this->listener->Port()},
+        this->Attempt("/llm/x"), 9s,
+        [&](Result<HttpResponse> aAnswer) { answer = std::move(aAnswer); });
     this->RunUntil([&] { return held != nullptr; });
     this->Ask(this->Attempt("/llm/x"));
     const std::size_t before = tired.seen.size();
@@ -151,11 +151,11 @@
           limits.OnNotice(all.front(), {{}, 8s}, clock.Now());
         });
     settings.retries.most = 10;
-    std::optional<Result<HttpAnswer>> answer;
-    FetchWhole(loop, {asio::ip::address_v4::loopback(), this->listener->Port()},
-               this->Attempt("/llm/x"), 9s, [&](Result<HttpAnswer> aAnswer) {
-                 answer = std::move(aAnswer);
-               });
+    std::optional<Result<HttpResponse>> answer;
+    FetchResponse(
+        loop, {asio::ip::address_v4::loopback(), this->listener->Port()},
+        this->Attempt("/llm/x"), 9s,
+        [&](Result<HttpResponse> aAnswer) { answer = std::move(aAnswer); });
     this->RunUntil([&] { return begun != nullptr; });
     this->AddUpstream("model", [](const auto& aTo, const auto& aMessage) {
       aTo->BeginChunks(200, SealedHeaders(aMessage));
--- a/UnitTests/WrongEntryTest.cpp
+++ b/UnitTests/WrongEntryTest.cpp
@@ -167,7 +167,7 @@
     ClusterView other{*decoder, *this, clock};
     other.OnUpstreams(
         {{{"i1", "{}", revision + 1}, {"i2", kOther, 3}}, revision + 1});
-    view.OnCopy(other.CopyFor(view.Revisions()), clock.Now());
+    view.OnUpdate(other.UpdateFor(view.Revisions()), clock.Now());
     CPPUNIT_ASSERT(!this->IsUsable("i1"));
     CPPUNIT_ASSERT(this->IsUsable("i2"));
   }
--- a/Zincstep/Admission/CrashLedger.cpp
+++ b/Zincstep/Admission/CrashTracker.cpp
@@ -1,17 +1,17 @@
-#include "Zincstep/Admission/CrashLedger.h"
+#include "Zincstep/Admission/CrashTracker.h"
 
 #include <algorithm>
 
 namespace zincstep {
 
-void CrashLedger::OnSuspected(const UpstreamCrash& aCrash) {
-  const bool hasRoom = this->suspected.size() < this->settings.mostRequests;
+void CrashTracker::OnSuspected(const UpstreamCrash& aCrash) {
+  const bool hasRoom = this->suspected.size() < this->settings.maxRequests;
   if (hasRoom || this->suspected.contains(aCrash.request)) {
     this->suspected[aCrash.request].insert(aCrash.upstream);
   }
 }
 
-void CrashLedger::OnSettled(const UpstreamCrash& aCrash) {
+void CrashTracker::OnSettled(const UpstreamCrash& aCrash) {
   const auto found = this->suspected.find(aCrash.request);
   if (found == this->suspected.end()) {
     return;
@@ -22,14 +22,14 @@
   }
 }
 
-CrashVerdict CrashLedger::OnCrash(const UpstreamCrash& aCrash, Instant aNow) {
+CrashVerdict CrashTracker::OnCrash(const UpstreamCrash& aCrash, Instant aNow) {
   if (this->IsAnsweredLately(aCrash.request, aNow)) {
-    return CrashVerdict::Innocent;
+    return CrashVerdict::Ignored;
   }
   this->MakeRoom();
   Record& record = this->records[aCrash.request];
   const bool wasBlocked = this->IsBlocked(record);
-  if (record.crashed.size() < this->settings.mostCrashes &&
+  if (record.crashed.size() < this->settings.maxCrashes &&
       record.crashed.insert(aCrash.upstream).second) {
     record.lastCrash = aNow;
   }
@@ -37,27 +37,27 @@
                                                 : CrashVerdict::Counted;
 }
 
-bool CrashLedger::OnAnswered(RequestFingerprint aRequest, Instant aNow) {
+bool CrashTracker::OnAnswered(RequestFingerprint aRequest, Instant aNow) {
   const bool isNew = this->answered.insert_or_assign(aRequest, aNow).second;
   if (isNew) {
     this->answeredInOrder.push_back(aRequest);
   }
-  if (this->answeredInOrder.size() > this->settings.mostAnswered) {
+  if (this->answeredInOrder.size() > this->settings.maxAnswered) {
     this->answered.erase(this->answeredInOrder.front());
     this->answeredInOrder.pop_front();
   }
   return this->Clear(aRequest);
 }
 
-bool CrashLedger::IsAnsweredLately(RequestFingerprint aRequest,
-                                   Instant aNow) const {
+bool CrashTracker::IsAnsweredLately(RequestFingerprint aRequest,
+                                    Instant aNow) const {
   const auto found = this->answered.find(aRequest);
   return found != this->answered.end() &&
          aNow - found->second < this->settings.answeredTime;
 }
 
-void CrashLedger::SetListed(const std::set<RequestFingerprint>& aRequests,
-                            Instant aNow) {
+void CrashTracker::SetListed(const std::set<RequestFingerprint>& aRequests,
+                             Instant aNow) {
   std::erase_if(this->records, [&](const auto& aEntry) {
     return aEntry.second.isListed && !aRequests.contains(aEntry.first);
   });
@@ -70,16 +70,16 @@
   }
 }
 
-Micros CrashLedger::BlockedFor(RequestFingerprint aRequest,
-                               Instant aNow) const {
+Micros CrashTracker::BlockedFor(RequestFingerprint aRequest,
+                                Instant aNow) const {
   const auto found = this->records.find(aRequest);
   if (found == this->records.end() || !this->IsBlocked(found->second)) {
-    return this->IsHeld(aRequest, aNow) ? this->settings.heldTime : Micros{0};
+    return this->IsHeld(aRequest, aNow) ? this->settings.holdTime : Micros{0};
   }
   return std::max(Micros{0}, this->EndOf(found->second) - aNow);
 }
 
-bool CrashLedger::IsHeld(RequestFingerprint aRequest, Instant aNow) const {
+bool CrashTracker::IsHeld(RequestFingerprint aRequest, Instant aNow) const {
   const auto open = this->suspected.find(aRequest);
   if (open == this->suspected.end() || this->IsAnsweredLately(aRequest, aNow)) {
     return false;
@@ -89,10 +89,10 @@
       blamed != this->records.end()) {
     all.insert(blamed->second.crashed.begin(), blamed->second.crashed.end());
   }
-  return all.size() >= this->settings.mostCrashes;
+  return all.size() >= this->settings.maxCrashes;
 }
 
-std::set<RequestFingerprint> CrashLedger::Blocked(Instant aNow) const {
+std::set<RequestFingerprint> CrashTracker::Blocked(Instant aNow) const {
   std::set<RequestFingerprint> blocked;
   for (const auto& [request, record] : this->records) {
     if (this->IsBlocked(record) && aNow < this->EndOf(record)) {
@@ -102,7 +102,7 @@
   return blocked;
 }
 
-std::vector<UpstreamCrash> CrashLedger::UnlistedCrashes(Instant aNow) const {
+std::vector<UpstreamCrash> CrashTracker::UnlistedCrashes(Instant aNow) const {
   std::vector<UpstreamCrash> crashes;
   for (const auto& [request, record] : this->records) {
     const bool isOpen = !record.isListed && this->IsBlocked(record) &&
@@ -117,14 +117,14 @@
   return crashes;
 }
 
-void CrashLedger::Tick(Instant aNow) {
+void CrashTracker::Tick(Instant aNow) {
   std::erase_if(this->records, [&](const auto& aEntry) {
     return aNow >= this->EndOf(aEntry.second);
   });
 }
 
-void CrashLedger::MakeRoom() {
-  if (this->records.size() < this->settings.mostRequests) {
+void CrashTracker::MakeRoom() {
+  if (this->records.size() < this->settings.maxRequests) {
     return;
   }
   const auto least = std::min_element(
--- a/Zincstep/Admission/CrashLedger.h
+++ b/Zincstep/Admission/CrashTracker.h
@@ -12,12 +12,12 @@
 namespace zincstep {
 
 /// Settings of the ledger of crashes.
-struct CrashLedgerSettings {
+struct CrashTrackerSettings {
   /// Upstreams that may end under one request. Streams that are cut together
   /// are sent on together, so that innocent ones may be there once or twice:
   /// with one, 226 of 29,096 attempts were refused beside a third of the pool
   /// that ended four times, with three none (replay of 300 daemons).
-  std::size_t mostCrashes = 3;
+  std::size_t maxCrashes = 3;
   /// Time after which a blocked request is tried again: the upstreams may run
   /// a mended version by then. Each trial may end three of them.
   Micros blockedTime = 600s;
@@ -26,20 +26,20 @@
   Micros memory = 120s;
   /// Requests that are remembered at once, some 200 bytes each; callers make
   /// new ones at will. Those that are not blocked go first, the oldest before.
-  std::size_t mostRequests = 4096;
+  std::size_t maxRequests = 4096;
   /// Requests answered whole that are remembered, and for how long. Identical
   /// ones of many callers may be on several upstreams that end at once.
-  std::size_t mostAnswered = 4096;
+  std::size_t maxAnswered = 4096;
   Micros answeredTime = 60s;
   /// Retry-After of requests that are held back until it is known whether
   /// upstreams have ended under them; most questions take less.
-  Micros heldTime = 500ms;
+  Micros holdTime = 500ms;
 };
 
 /// What a crash says of the request that ran.
 enum class CrashVerdict {
   /// It has been answered whole lately: it ends nobody.
-  Innocent,
+  Ignored,
   Counted,
   /// It is blocked from now on.
   Blocked,
@@ -64,9 +64,9 @@
 /// speaks for the same request for a while. Without that, three upstreams that
 /// ended within 60 ms blocked the requests that all callers shared, for ten
 /// minutes (one of 23 seeds of the soak).
-class CrashLedger {
+class CrashTracker {
  public:
-  explicit CrashLedger(CrashLedgerSettings aSettings) : settings(aSettings) {}
+  explicit CrashTracker(CrashTrackerSettings aSettings) : settings(aSettings) {}
 
   /// An upstream may have ended under a request, which is being found out here.
   /// Requests with as many of these as block one are held back meanwhile.
@@ -87,7 +87,7 @@
 
   /// Whether no request is blamed.
   bool IsEmpty() const { return this->records.empty(); }
-  bool IsBlamed(RequestFingerprint aRequest) const {
+  bool HasCrashes(RequestFingerprint aRequest) const {
     return this->records.contains(aRequest);
   }
   /// Whether any request may have to wait: else none needs to be looked up.
@@ -116,7 +116,7 @@
   bool IsAnsweredLately(RequestFingerprint aRequest, Instant aNow) const;
   bool IsBlocked(const Record& aRecord) const {
     return aRecord.isListed ||
-           aRecord.crashed.size() >= this->settings.mostCrashes;
+           aRecord.crashed.size() >= this->settings.maxCrashes;
   }
   Instant EndOf(const Record& aRecord) const {
     return aRecord.lastCrash + (this->IsBlocked(aRecord)
@@ -125,7 +125,7 @@
   }
   void MakeRoom();
 
-  CrashLedgerSettings settings;
+  CrashTrackerSettings settings;
   std::unordered_map<RequestFingerprint, Record> records;
   /// Incarnations of which it is being found out whether they have ended.
   std::unordered_map<RequestFingerprint, std::set<std::uint64_t>> suspected;
--- a/Zincstep/Admission/DomainLimit.cpp
+++ b/Zincstep/Admission/DomainLimit.cpp
@@ -23,7 +23,7 @@
     const auto found = this->peers.find(name);
     // A new peer counts as silent until it has spoken.
     next[name] = found == this->peers.end()
-                     ? Peer{aNow - 2 * this->settings.peerSilence, {}}
+                     ? Peer{aNow - 2 * this->settings.peerTimeout, {}}
                      : found->second;
   }
   this->peers = std::move(next);
@@ -36,17 +36,17 @@
   if (found == this->peers.end()) {
     return;
   }
-  found->second.heardAt = aNow;
+  found->second.lastSeenAt = aNow;
   found->second.demands.clear();
   for (const UsageReport& report : aReports) {
     found->second.demands[report.organisation] = report.demand;
   }
 }
 
-bool DomainLimit::HearsAll(Instant aNow) const {
+bool DomainLimit::AreAllPeersLive(Instant aNow) const {
   return std::all_of(
       this->peers.begin(), this->peers.end(), [&](const auto& aEntry) {
-        return aNow - aEntry.second.heardAt <= this->settings.peerSilence;
+        return aNow - aEntry.second.lastSeenAt <= this->settings.peerTimeout;
       });
 }
 
@@ -60,7 +60,7 @@
                           Instant aNow) {
   const auto daemons = static_cast<double>(this->peers.size() + 1);
   const double equal = aLimit / daemons;
-  if (!this->HearsAll(aNow)) {
+  if (!this->AreAllPeersLive(aNow)) {
     return equal;
   }
   const double own = this->DecayedDemand(this->buckets[aOrganisation], aNow);
--- a/Zincstep/Admission/DomainLimit.h
+++ b/Zincstep/Admission/DomainLimit.h
@@ -27,7 +27,7 @@
   /// Time over which demand is averaged.
   Micros demandWindow = 2s;
   /// A peer that is silent for longer has not been heard.
-  Micros peerSilence = 3s;
+  Micros peerTimeout = 3s;
   /// Time for which a bucket may save up its rate.
   Micros burst = 1s;
   /// Share of the limit that is divided equally, so that a daemon with no
@@ -66,7 +66,7 @@
   /// This daemon's share of a limit now, in tokens a second.
   double Share(const std::string& aOrganisation, double aLimit, Instant aNow);
   /// Whether all peers are heard.
-  bool HearsAll(Instant aNow) const;
+  bool AreAllPeersLive(Instant aNow) const;
 
  private:
   struct Bucket {
@@ -78,7 +78,7 @@
     Instant demandAt;
   };
   struct Peer {
-    Instant heardAt;
+    Instant lastSeenAt;
     std::map<std::uint32_t, double> demands;
   };
 
--- a/Zincstep/Admission/FairQueue.cpp
+++ b/Zincstep/Admission/FairQueue.cpp
@@ -61,7 +61,7 @@
                               Instant aNow) {
   const Micros wait = this->ExpectedWait(aRequest, aTokenRate);
   const Micros patience =
-      std::min(this->settings.longestWait, aRequest.startBy - aNow);
+      std::min(this->settings.maxWait, aRequest.startBy - aNow);
   if (wait > patience || this->waiting >= this->settings.maxWaiting) {
     const Micros back = std::clamp<Micros>(wait - patience, 200ms, 30s);
     return tl::unexpected<Error>(
@@ -135,7 +135,7 @@
   }
 }
 
-std::vector<QueuedRequest> FairQueue::TakeExpired(Instant aNow) {
+std::vector<QueuedRequest> FairQueue::PopExpired(Instant aNow) {
   std::vector<QueuedRequest> expired;
   for (auto& [name, account] : this->accounts) {
     for (std::size_t rank = 0; rank < account.queues.size(); ++rank) {
--- a/Zincstep/Admission/FairQueue.h
+++ b/Zincstep/Admission/FairQueue.h
@@ -35,7 +35,7 @@
 /// Settings of a fair queue.
 struct FairQueueSettings {
   /// A request whose turn is not expected within this time is refused.
-  Micros longestWait = 1500ms;
+  Micros maxWait = 1500ms;
   std::size_t maxWaiting = 4096;
   /// Every so many picks go to the lowest priority that waits.
   int picksPerLowPick = 20;
@@ -70,7 +70,7 @@
   /// Takes the request that `Peek` gave: it begins.
   void Take(std::uint64_t aId);
   /// Removes and gives the requests whose time has passed.
-  std::vector<QueuedRequest> TakeExpired(Instant aNow);
+  std::vector<QueuedRequest> PopExpired(Instant aNow);
   /// Removes a request whose caller has gone; false if it is not waiting.
   bool Remove(std::uint64_t aId);
   /// Removes and gives the lowest-priority request that came last.
--- a/Zincstep/Admission/RetryBudget.cpp
+++ b/Zincstep/Admission/RetryBudget.cpp
@@ -32,7 +32,7 @@
       std::min(this->settings.most, this->saved + this->settings.perRequest);
 }
 
-bool RetryBudget::TakeRetry(double aKept) {
+bool RetryBudget::TryAcquireRetry(double aKept) {
   if (this->saved < 1 + std::floor(aKept * this->settings.most)) {
     return false;
   }
@@ -40,7 +40,7 @@
   return true;
 }
 
-void RetryBudget::SetMost(double aMost) {
+void RetryBudget::SetMaxSaved(double aMost) {
   this->settings.most = aMost;
   this->saved = std::min(this->saved, aMost);
 }
--- a/Zincstep/Admission/RetryBudget.h
+++ b/Zincstep/Admission/RetryBudget.h
@@ -43,10 +43,10 @@
   /// Takes one retry out of the budget; false where there is none beyond
   /// `aKept`, a share of the most, which is left for work that matters more, in
   /// whole retries.
-  bool TakeRetry(double aKept = 0);
+  bool TryAcquireRetry(double aKept = 0);
   /// Sets how many retries may be saved up, as a share of a common bound
   /// changes with the number of those who share it.
-  void SetMost(double aMost);
+  void SetMaxSaved(double aMost);
   /// Retries that are saved up now.
   double Saved() const { return this->saved; }
   /// Pause before retry number `aRetry`, from 1: full jitter.
--- a/Zincstep/Cluster/AsyncStore.h
+++ b/Zincstep/Cluster/AsyncStore.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "Zincstep/Cluster/StoreEras.h"
+#include "Zincstep/Cluster/StoreEraTracker.h"
 #include "Zincstep/Cluster/StoreRevision.h"
 #include "Zincstep/Core/Core.h"
 
--- a/Zincstep/Cluster/Cluster.h
+++ b/Zincstep/Cluster/Cluster.h
@@ -9,7 +9,7 @@
 #include "Zincstep/Cluster/ClusterView.h"
 #include "Zincstep/Cluster/CountedStore.h"
 #include "Zincstep/Cluster/ItemList.h"
-#include "Zincstep/Cluster/PlacementKeeper.h"
+#include "Zincstep/Cluster/PlacementController.h"
 #include "Zincstep/Cluster/PlanRunner.h"
 #include "Zincstep/Cluster/PrefixMirror.h"
 #include "Zincstep/Cluster/StoreFollower.h"
--- a/Zincstep/Cluster/ClusterView.cpp
+++ b/Zincstep/Cluster/ClusterView.cpp
@@ -35,7 +35,7 @@
            {"state", NameIn(kAvailabilityNames, aEntry.state)},
            {"first_layer", aEntry.layers.first},
            {"last_layer", aEntry.layers.last},
-           {"born", aEntry.born},
+           {"born", aEntry.startTimeMs},
            {"revision", aRevision.number}});
 }
 
@@ -61,10 +61,10 @@
   this->config.OnRestored(aEra);
 }
 
-ClusterView::ToldBy ClusterView::ToldByList(StoreRevision aAt) const {
+ClusterView::UpdateSource ClusterView::UpdateSourceOf(StoreRevision aAt) const {
   const StoreRevision known = this->entries.At();
-  return !known.IsNone() && known.era < aAt.era ? ToldBy::RestoredList
-                                                : ToldBy::News;
+  return !known.IsNone() && known.era < aAt.era ? UpdateSource::RestoredList
+                                                : UpdateSource::News;
 }
 
 void ClusterView::KeepLeaving(UpstreamEntry& aEntry) const {
@@ -75,14 +75,14 @@
   }
 }
 
-void ClusterView::DoubtReturn(LiveUpstream& aUpstream) {
+void ClusterView::QuarantineReturned(LiveUpstream& aUpstream) {
   if (this->lately.contains(aUpstream.Number())) {
     LogInfo("upstream_return_doubted", {{"upstream", aUpstream.Entry().id}});
-    aUpstream.PassOver(this->clock.Now() + kReturnDoubt);
+    aUpstream.EjectUntil(this->clock.Now() + kReturnDoubt);
   }
 }
 
-void ClusterView::Put(const StoreItem& aItem, ToldBy aToldBy) {
+void ClusterView::Put(const StoreItem& aItem, UpdateSource aUpdateSource) {
   if (!this->entries.Put(aItem)) {
     return;
   }
@@ -98,7 +98,7 @@
     return;
   }
   this->wrongEntries.erase(aItem.key);
-  const bool isRestored = aToldBy == ToldBy::RestoredList;
+  const bool isRestored = aUpdateSource == UpdateSource::RestoredList;
   if (isRestored) {
     this->KeepLeaving(*decoded);
   }
@@ -108,17 +108,17 @@
   this->directory.Put(std::move(*decoded), this->clock.Now());
   if (const UpstreamPtr upstream = this->directory.Find(aItem.key)) {
     if (isRestored) {
-      this->DoubtReturn(*upstream);
+      this->QuarantineReturned(*upstream);
     }
     this->listener.OnUpstream(upstream);
   }
 }
 
-void ClusterView::PutAll(const std::vector<StoreItem>& aItems, ToldBy aToldBy,
-                         StoreRevision aAt) {
+void ClusterView::PutAll(const std::vector<StoreItem>& aItems,
+                         UpdateSource aUpdateSource, StoreRevision aAt) {
   this->logsEach = aItems.size() <= kMostLogged;
   for (const StoreItem& item : aItems) {
-    this->Put(item, aToldBy);
+    this->Put(item, aUpdateSource);
   }
   if (!this->logsEach) {
     LogInfo("upstreams_listed", {{"entries", aItems.size()},
@@ -134,7 +134,7 @@
 }
 
 void ClusterView::RemoveTold(const std::vector<std::string>& aIds,
-                             const ListCopy& aCopy) {
+                             const ListUpdate& aCopy) {
   if (aIds.empty()) {
     return;
   }
@@ -145,7 +145,8 @@
   const Instant graceEnd = std::max(own, now + aCopy.grace);
   const std::set<std::string> lapsed =
       graceEnd > now ? this->LapsedDomains(aIds) : std::set<std::string>();
-  const bool isRestored = this->ToldByList(aCopy.at) == ToldBy::RestoredList;
+  const bool isRestored =
+      this->UpdateSourceOf(aCopy.at) == UpdateSource::RestoredList;
   for (const std::string& id : aIds) {
     const UpstreamPtr upstream = this->directory.Find(id);
     const bool isLapse =
@@ -205,20 +206,20 @@
     return;
   }
   this->NoteEra(aRange.at);
-  this->PutAll(aRange.items, this->ToldByList(aRange.at), aRange.at);
+  this->PutAll(aRange.items, this->UpdateSourceOf(aRange.at), aRange.at);
   for (const std::string& id : this->entries.AbsentFrom(aRange.items)) {
     this->Missing(id, aRange.at, this->GraceEnd());
   }
   this->entries.Restart(aRange.at);
 }
 
-void ClusterView::OnUpstreamCopy(const ListCopy& aCopy) {
+void ClusterView::OnUpstreamUpdate(const ListUpdate& aCopy) {
   if (!this->entries.IsNews(aCopy)) {
     return;
   }
   this->NoteEra(aCopy.at);
-  const ToldBy told = this->ToldByList(aCopy.at);
-  this->RemoveTold(this->entries.TakenBy(aCopy), aCopy);
+  const UpdateSource told = this->UpdateSourceOf(aCopy.at);
+  this->RemoveTold(this->entries.RemovedBy(aCopy), aCopy);
   this->PutAll(aCopy.items, told, aCopy.at);
   this->entries.Complete(aCopy);
 }
@@ -234,7 +235,7 @@
   this->entries.Advance(aEvents.at);
 }
 
-void ClusterView::OnCopy(const ClusterCopy& aCopy, Instant aAsked) {
+void ClusterView::OnUpdate(const ClusterUpdate& aCopy, Instant aAsked) {
   if (!aCopy.configText.empty()) {
     this->OnConfiguration({"", aCopy.configText, aCopy.configRevision});
     const bool isLost = aCopy.configVersion > this->ConfigVersion();
@@ -242,19 +243,19 @@
       this->listener.OnConfiguration();
     }
   }
-  if (aCopy.proofAge) {
-    this->OnProof(aCopy.configRevision, aAsked - *aCopy.proofAge);
+  if (aCopy.validationAge) {
+    this->OnValidated(aCopy.configRevision, aAsked - *aCopy.validationAge);
   }
   if (aCopy.upstreams) {
-    this->OnUpstreamCopy(*aCopy.upstreams);
+    this->OnUpstreamUpdate(*aCopy.upstreams);
   }
-  if (aCopy.daemons && this->daemons.OnCopy(*aCopy.daemons)) {
+  if (aCopy.daemons && this->daemons.OnUpdate(*aCopy.daemons)) {
     this->listener.OnDaemonEntries();
   }
-  const bool isDoubtful =
-      this->entries.IsDoubtful() || this->daemons.List().IsDoubtful();
-  if (aCopy.listsAge && !isDoubtful) {
-    this->OnListsProven(aAsked - *aCopy.listsAge);
+  const bool mayBeIncomplete =
+      this->entries.MayBeIncomplete() || this->daemons.List().MayBeIncomplete();
+  if (aCopy.listsAge && !mayBeIncomplete) {
+    this->OnListsValidated(aAsked - *aCopy.listsAge);
   }
 }
 
@@ -271,17 +272,17 @@
   }
 }
 
-void ClusterView::OnListsProven(Instant aAt) {
-  if (!this->listsProvenAt || *this->listsProvenAt < aAt) {
-    this->listsProvenAt = aAt;
+void ClusterView::OnListsValidated(Instant aAt) {
+  if (!this->listsValidatedAt || *this->listsValidatedAt < aAt) {
+    this->listsValidatedAt = aAt;
   }
 }
 
 std::optional<Micros> ClusterView::ListsAge() const {
-  if (!this->listsProvenAt) {
+  if (!this->listsValidatedAt) {
     return std::nullopt;
   }
-  return this->clock.Now() - *this->listsProvenAt;
+  return this->clock.Now() - *this->listsValidatedAt;
 }
 
 KnownRevisions ClusterView::Revisions() const {
@@ -289,11 +290,11 @@
   const auto known = [this](StoreRevision aRevision) {
     return aRevision.era == this->era ? aRevision : StoreRevision{};
   };
-  return {this->ConfigFoundAt(), known(this->entries.AskSince()),
+  return {this->ConfigStoreRevision(), known(this->entries.AskSince()),
           known(this->daemons.List().AskSince()), this->ConfigVersion()};
 }
 
-void ClusterView::OnStoreReached(bool aReached, const std::string& aReason) {
+void ClusterView::OnStoreReachable(bool aReached, const std::string& aReason) {
   if (aReached == this->isStoreReached) {
     return;
   }
@@ -327,12 +328,13 @@
   this->config.Tick();
 }
 
-ClusterCopy ClusterView::CopyFor(const KnownRevisions& aKnown) const {
-  ClusterCopy copy;
-  copy.configRevision = this->ConfigFoundAt();
+ClusterUpdate ClusterView::UpdateFor(const KnownRevisions& aKnown) const {
+  ClusterUpdate copy;
+  copy.configRevision = this->ConfigStoreRevision();
   copy.configVersion = this->ConfigVersion();
-  copy.proofAge =
-      this->ConfigFoundAt().IsNone() ? std::nullopt : this->ProofAge();
+  copy.validationAge = this->ConfigStoreRevision().IsNone()
+                           ? std::nullopt
+                           : this->ValidationAge();
   if (this->LacksConfigText(aKnown)) {
     copy.configText = this->ConfigText();
   }
@@ -343,11 +345,11 @@
     copy.listsAge = this->ListsAge();
   }
   if (tellsUpstreams && aKnown.upstreams < this->entries.At()) {
-    copy.upstreams = this->entries.CopySince(aKnown.upstreams);
+    copy.upstreams = this->entries.UpdateSince(aKnown.upstreams);
     copy.upstreams->grace = this->ReturnGrace();
   }
   if (tellsDaemons && aKnown.daemons < this->daemons.At()) {
-    copy.daemons = this->daemons.List().CopySince(aKnown.daemons);
+    copy.daemons = this->daemons.List().UpdateSince(aKnown.daemons);
   }
   return copy;
 }
--- a/Zincstep/Cluster/ClusterView.h
+++ b/Zincstep/Cluster/ClusterView.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "Zincstep/Cluster/ConfigurationBelief.h"
+#include "Zincstep/Cluster/ConfigurationState.h"
 #include "Zincstep/Cluster/PrefixMirror.h"
 #include "Zincstep/Pool/Pool.h"
 #include "Zincstep/Routes/Routes.h"
@@ -40,7 +40,7 @@
 };
 
 /// Everything that one daemon can tell another of the cluster.
-struct ClusterCopy {
+struct ClusterUpdate {
   /// Where the teller found the store's configuration last.
   StoreRevision configRevision;
   /// Version of the configuration in force there; 0: none.
@@ -48,11 +48,11 @@
   /// That configuration; empty where the asker has it.
   std::string configText;
   /// Age of the proof that no newer configuration exists.
-  std::optional<Micros> proofAge;
+  std::optional<Micros> validationAge;
   /// The upstreams' entries; none where the asker has them as they are.
-  std::optional<ListCopy> upstreams;
+  std::optional<ListUpdate> upstreams;
   /// The same for the daemons' own entries.
-  std::optional<ListCopy> daemons;
+  std::optional<ListUpdate> daemons;
   /// Age of the proof that both lists were up to the store.
   std::optional<Micros> listsAge;
 };
@@ -90,8 +90,8 @@
   /// The configuration of `aRevision` was the newest one at `aBegan`. That goes
   /// on to hold for a newer one that came into force since: whatever neither of
   /// them tells was changed after `aBegan`.
-  void OnProof(StoreRevision aRevision, Instant aBegan) {
-    this->config.OnProof(aRevision, aBegan);
+  void OnValidated(StoreRevision aRevision, Instant aBegan) {
+    this->config.OnValidated(aRevision, aBegan);
   }
   /// The store has come back from a copy, and is in that era.
   void OnRestored(std::uint64_t aEra);
@@ -99,7 +99,7 @@
   /// that lives may know a configuration that the store has lost.
   void AwaitPeers(Instant aUntil) { this->config.AwaitPeers(aUntil); }
   /// A peer has answered, and this daemon has no older configuration.
-  void OnPeersHeard() { this->config.OnPeersHeard(); }
+  void OnPeersAnswered() { this->config.OnPeersAnswered(); }
   /// All upstreams' entries as of `aRange.at`; keys are their ids.
   void OnUpstreams(const StoreRange& aRange);
   /// Changes of upstreams' entries.
@@ -109,11 +109,11 @@
   /// Changes of the daemons' own entries.
   void OnDaemonEvents(const StoreEvents& aEvents);
   /// Both lists showed all that the store had at `aAt`.
-  void OnListsProven(Instant aAt);
+  void OnListsValidated(Instant aAt);
   /// What a peer answered to a question that was asked at `aAsked`.
-  void OnCopy(const ClusterCopy& aCopy, Instant aAsked);
+  void OnUpdate(const ClusterUpdate& aCopy, Instant aAsked);
   /// The store has begun or ceased to answer, for that reason.
-  void OnStoreReached(bool aReached, const std::string& aReason = "");
+  void OnStoreReachable(bool aReached, const std::string& aReason = "");
   /// Whether the store is away, or has come back so lately that entries which
   /// lapsed meanwhile may still be missing.
   bool MayLackEntries() const;
@@ -121,7 +121,7 @@
   void Tick();
 
   /// What a peer is told that has those revisions.
-  ClusterCopy CopyFor(const KnownRevisions& aKnown) const;
+  ClusterUpdate UpdateFor(const KnownRevisions& aKnown) const;
   /// Revision up to which the list of upstreams can be told; none: it is of an
   /// earlier era.
   StoreRevision UpstreamsAt() const {
@@ -150,14 +150,16 @@
   /// Whether a peer that has those revisions lacks that text.
   bool LacksConfigText(const KnownRevisions& aKnown) const {
     return !this->ConfigText().empty() &&
-           (aKnown.config < this->ConfigFoundAt() ||
+           (aKnown.config < this->ConfigStoreRevision() ||
             aKnown.configVersion < this->ConfigVersion());
   }
   /// Where the store has the newest configuration, as it was found last; none:
   /// it is not known in this era.
-  StoreRevision ConfigFoundAt() const { return this->config.FoundAt(); }
+  StoreRevision ConfigStoreRevision() const { return this->config.FoundAt(); }
   /// Age of the proof that the configuration is the newest; none: no proof.
-  std::optional<Micros> ProofAge() const { return this->config.ProofAge(); }
+  std::optional<Micros> ValidationAge() const {
+    return this->config.ValidationAge();
+  }
   /// Age of the proof that the lists are up to the store; none: no proof.
   std::optional<Micros> ListsAge() const;
   /// Whether any list of upstreams is known, however old.
@@ -169,36 +171,38 @@
   const PrefixMirror& Daemons() const { return this->daemons; }
 
  private:
-  void OnUpstreamCopy(const ListCopy& aCopy);
+  void OnUpstreamUpdate(const ListUpdate& aCopy);
   /// The first that is heard of a store tells its era.
   void NoteEra(StoreRevision aRevision) {
     this->era = std::max(this->era, aRevision.era);
   }
   /// How an entry was told.
-  enum class ToldBy {
+  enum class UpdateSource {
     /// As a change, or in a list of the era that was known before.
     News,
     /// In the first list after the store has come back: it may be as the copy
     /// has it, seconds old.
     RestoredList,
   };
-  void Put(const StoreItem& aItem, ToldBy aToldBy = ToldBy::News);
+  void Put(const StoreItem& aItem,
+           UpdateSource aUpdateSource = UpdateSource::News);
   /// All entries of a list, or of its changes, as of that revision.
-  void PutAll(const std::vector<StoreItem>& aItems, ToldBy aToldBy,
+  void PutAll(const std::vector<StoreItem>& aItems, UpdateSource aUpdateSource,
               StoreRevision aAt);
   /// How entries of a list as of that revision are told.
-  ToldBy ToldByList(StoreRevision aAt) const;
+  UpdateSource UpdateSourceOf(StoreRevision aAt) const;
   /// An entry of a restored list takes nothing back that was known of leaving.
   void KeepLeaving(UpstreamEntry& aEntry) const;
   /// One that was gone before is not used until it has had time to write.
-  void DoubtReturn(LiveUpstream& aUpstream);
+  void QuarantineReturned(LiveUpstream& aUpstream);
   /// Until when a missing entry says nothing; in the past where it does.
   Instant GraceEnd() const;
   /// The list has lost an entry; the upstream is kept until then.
   void Missing(const std::string& aId, StoreRevision aRevision,
                Instant aGraceEnd);
   /// A peer's copy lacks those.
-  void RemoveTold(const std::vector<std::string>& aIds, const ListCopy& aCopy);
+  void RemoveTold(const std::vector<std::string>& aIds,
+                  const ListUpdate& aCopy);
   /// Domains that would lose so many of their upstreams with those that their
   /// entries have lapsed.
   std::set<std::string> LapsedDomains(
@@ -208,7 +212,7 @@
   const ClusterDecoder& decoder;
   ClusterListener& listener;
   const Clock& clock;
-  ConfigurationBelief config;
+  ConfigurationState config;
   /// The present era of the store, as far as it is known here.
   std::uint64_t era = 0;
   /// Incarnations that have gone lately, by their numbers, and when.
@@ -220,7 +224,7 @@
   /// Whether each changed upstream has a log line of its own.
   bool logsEach = true;
   PrefixMirror daemons;
-  std::optional<Instant> listsProvenAt;
+  std::optional<Instant> listsValidatedAt;
   /// Upstreams whose entries went while the store was away: when they count as
   /// gone. They are no more on the list, which peers are told as it is.
   std::map<std::string, Instant> missing;
--- a/Zincstep/Cluster/ConfigurationBelief.cpp
+++ b/Zincstep/Cluster/ConfigurationState.cpp
@@ -1,4 +1,4 @@
-#include "Zincstep/Cluster/ConfigurationBelief.h"
+#include "Zincstep/Cluster/ConfigurationState.h"
 
 #include "Zincstep/Cluster/ClusterView.h"
 #include "Zincstep/Telemetry/Telemetry.h"
@@ -13,8 +13,8 @@
 
 }  // namespace
 
-bool ConfigurationBelief::IsNewer(std::uint64_t aVersion,
-                                  StoreRevision aFound) const {
+bool ConfigurationState::IsNewer(std::uint64_t aVersion,
+                                 StoreRevision aFound) const {
   if (!this->table) {
     return true;
   }
@@ -24,7 +24,7 @@
   return isOfOneEra || aVersion >= this->Version();
 }
 
-bool ConfigurationBelief::OnFound(const StoreItem& aItem) {
+bool ConfigurationState::OnFound(const StoreItem& aItem) {
   if (aItem.revision <= this->foundAt ||
       aItem.revision == this->refusedRevision) {
     return false;
@@ -55,9 +55,9 @@
   return true;
 }
 
-void ConfigurationBelief::SetInForce(std::string aText,
-                                     RouteConfiguration aConfiguration,
-                                     StoreRevision aFound) {
+void ConfigurationState::SetInForce(std::string aText,
+                                    RouteConfiguration aConfiguration,
+                                    StoreRevision aFound) {
   this->text = std::move(aText);
   this->takenInEra = aFound.era;
   this->table = std::make_shared<const RouteTable>(std::move(aConfiguration));
@@ -68,7 +68,7 @@
            {"routes", this->table->Configuration().routes.size()}});
 }
 
-bool ConfigurationBelief::OnPeers(const std::string& aText) {
+bool ConfigurationState::OnPeers(const std::string& aText) {
   auto decoded = this->decoder.DecodeConfiguration(aText);
   if (!decoded || decoded->version <= this->Version()) {
     return false;
@@ -77,53 +77,53 @@
   return true;
 }
 
-void ConfigurationBelief::OnProof(StoreRevision aRevision, Instant aBegan) {
+void ConfigurationState::OnValidated(StoreRevision aRevision, Instant aBegan) {
   if (aRevision > this->foundAt || aRevision.IsNone()) {
     return;  // That one has withdrawn what this one still grants.
   }
-  if (aRevision.era < this->era || aBegan < this->doubtsProofsUntil) {
+  if (aRevision.era < this->era || aBegan < this->rejectsValidationUntil) {
     return;
   }
   // A store in its first era has never come back from a copy.
   if (this->awaitsPeersUntil && aRevision.era > 0) {
-    this->heldProof = HeldProof{aRevision, aBegan};
+    this->pendingValidation = PendingValidation{aRevision, aBegan};
     return;
   }
-  if (!this->proofBegan || *this->proofBegan < aBegan) {
-    this->proofBegan = aBegan;
+  if (!this->validatedAt || *this->validatedAt < aBegan) {
+    this->validatedAt = aBegan;
   }
 }
 
-void ConfigurationBelief::OnRestored(std::uint64_t aEra) {
+void ConfigurationState::OnRestored(std::uint64_t aEra) {
   this->era = aEra;
   this->foundAt = {};
   this->refusedRevision = {};
-  this->heldProof.reset();
-  this->doubtsProofsUntil = this->clock.Now() + kProofDoubt;
+  this->pendingValidation.reset();
+  this->rejectsValidationUntil = this->clock.Now() + kProofDoubt;
 }
 
-void ConfigurationBelief::OnPeersHeard() {
+void ConfigurationState::OnPeersAnswered() {
   if (!this->awaitsPeersUntil) {
     return;
   }
   this->awaitsPeersUntil.reset();
-  if (this->heldProof) {
-    const HeldProof held = *this->heldProof;
-    this->heldProof.reset();
-    this->OnProof(held.revision, held.began);
+  if (this->pendingValidation) {
+    const PendingValidation held = *this->pendingValidation;
+    this->pendingValidation.reset();
+    this->OnValidated(held.revision, held.began);
   }
 }
 
-std::optional<Micros> ConfigurationBelief::ProofAge() const {
-  if (!this->proofBegan) {
+std::optional<Micros> ConfigurationState::ValidationAge() const {
+  if (!this->validatedAt) {
     return std::nullopt;
   }
-  return this->clock.Now() - *this->proofBegan;
+  return this->clock.Now() - *this->validatedAt;
 }
 
-void ConfigurationBelief::Tick() {
+void ConfigurationState::Tick() {
   if (this->awaitsPeersUntil && this->clock.Now() >= *this->awaitsPeersUntil) {
-    this->OnPeersHeard();
+    this->OnPeersAnswered();
   }
 }
 
--- a/Zincstep/Cluster/ConfigurationBelief.h
+++ b/Zincstep/Cluster/ConfigurationState.h
@@ -18,9 +18,9 @@
 /// came back from a copy may hold an older one: the version inside orders it,
 /// and its revision only finds it. A configuration never goes back to a lower
 /// version in one life of the daemon.
-class ConfigurationBelief {
+class ConfigurationState {
  public:
-  ConfigurationBelief(const ClusterDecoder& aDecoder, const Clock& aClock)
+  ConfigurationState(const ClusterDecoder& aDecoder, const Clock& aClock)
       : decoder(aDecoder), clock(aClock) {}
 
   /// The store, or a peer that found it there, holds this one; true: another
@@ -32,14 +32,14 @@
   /// The one that was found at `aRevision` was the newest at `aBegan`. That
   /// goes on to hold for a newer one that came into force since: whatever
   /// neither of them tells was changed after `aBegan`.
-  void OnProof(StoreRevision aRevision, Instant aBegan);
+  void OnValidated(StoreRevision aRevision, Instant aBegan);
   /// The store has come back from a copy, and is in that era.
   void OnRestored(std::uint64_t aEra);
   /// No proof counts from now on until a peer has answered or `aUntil`: one
   /// that lives may know a configuration that the store has lost.
   void AwaitPeers(Instant aUntil) { this->awaitsPeersUntil = aUntil; }
   /// A peer has answered, and this daemon has no older configuration.
-  void OnPeersHeard();
+  void OnPeersAnswered();
   /// Ends waits that are over; to be called several times a second.
   void Tick();
 
@@ -54,11 +54,11 @@
   /// known in this era.
   StoreRevision FoundAt() const { return this->foundAt; }
   /// Age of the proof that it is the newest; none: no proof.
-  std::optional<Micros> ProofAge() const;
+  std::optional<Micros> ValidationAge() const;
 
  private:
   /// A proof that counts once the peers were heard.
-  struct HeldProof {
+  struct PendingValidation {
     StoreRevision revision;
     Instant began;
   };
@@ -77,14 +77,14 @@
   StoreRevision foundAt;
   /// Revision of one that did not parse, to read it once only.
   StoreRevision refusedRevision;
-  std::optional<Instant> proofBegan;
-  std::optional<HeldProof> heldProof;
+  std::optional<Instant> validatedAt;
+  std::optional<PendingValidation> pendingValidation;
   std::optional<Instant> awaitsPeersUntil;
   /// The present era, as far as it is known here.
   std::uint64_t era = 0;
   /// No proof counts that began before: what the operators had written may not
   /// be written again yet.
-  Instant doubtsProofsUntil{};
+  Instant rejectsValidationUntil{};
 };
 
 }  // namespace zincstep
--- a/Zincstep/Cluster/CountedStore.cpp
+++ b/Zincstep/Cluster/CountedStore.cpp
@@ -63,7 +63,7 @@
   const Instant now = this->clock.Now();
   const bool hasCalls = std::any_of(this->counts.begin(), this->counts.end(),
                                     [](int aCount) { return aCount > 0; });
-  if (now < this->nextLine || !hasCalls) {
+  if (now < this->nextLogAt || !hasCalls) {
     return;
   }
   const auto count = [this](StoreCall aCall) {
@@ -78,7 +78,7 @@
                           {"renew", count(StoreCall::Renew)},
                           {"end", count(StoreCall::End)}});
   this->counts.fill(0);
-  this->nextLine = now + kLinePause;
+  this->nextLogAt = now + kLinePause;
 }
 
 }  // namespace zincstep
--- a/Zincstep/Cluster/CountedStore.h
+++ b/Zincstep/Cluster/CountedStore.h
@@ -62,7 +62,7 @@
   Metrics& metrics;
   const Clock& clock;
   std::array<int, kStoreCallNames.size()> counts{};
-  Instant nextLine{};
+  Instant nextLogAt{};
 };
 
 }  // namespace zincstep
--- a/Zincstep/Cluster/ItemList.cpp
+++ b/Zincstep/Cluster/ItemList.cpp
@@ -75,7 +75,7 @@
   this->gapAfter = this->at;
   this->gapUpTo = aAt;
   this->Advance(aAt);
-  this->isDoubtful = false;
+  this->mayBeIncomplete = false;
 }
 
 bool ItemList::KnowsRemovalsSince(StoreRevision aRevision) const {
@@ -83,8 +83,8 @@
   return aRevision >= this->removalsSince && !isInGap;
 }
 
-bool ItemList::IsNews(const ListCopy& aCopy) const {
-  if (this->isDoubtful) {
+bool ItemList::IsNews(const ListUpdate& aCopy) const {
+  if (this->mayBeIncomplete) {
     return aCopy.isWhole && aCopy.at >= this->at;
   }
   return aCopy.at > this->at;
@@ -111,11 +111,11 @@
   return absent;
 }
 
-std::vector<std::string> ItemList::TakenBy(const ListCopy& aCopy) const {
+std::vector<std::string> ItemList::RemovedBy(const ListUpdate& aCopy) const {
   return aCopy.isWhole ? this->AbsentFrom(aCopy.items) : aCopy.removed;
 }
 
-void ItemList::Complete(const ListCopy& aCopy) {
+void ItemList::Complete(const ListUpdate& aCopy) {
   if (aCopy.isWhole) {
     this->Restart(aCopy.at);
   } else {
@@ -128,11 +128,11 @@
                               {"era", this->at.era},
                               {"items", this->items.size()},
                               {"told_whole", aCopy.isWhole}});
-  this->isDoubtful = !aCopy.isWhole;
+  this->mayBeIncomplete = !aCopy.isWhole;
 }
 
-ListCopy ItemList::CopySince(StoreRevision aSince) const {
-  ListCopy copy;
+ListUpdate ItemList::UpdateSince(StoreRevision aSince) const {
+  ListUpdate copy;
   copy.at = this->at;
   copy.digest = this->digest;
   copy.isWhole = aSince.IsNone() || !this->KnowsRemovalsSince(aSince);
--- a/Zincstep/Cluster/ItemList.h
+++ b/Zincstep/Cluster/ItemList.h
@@ -15,7 +15,7 @@
 using StoreItems = std::map<std::string, StoreItem>;
 
 /// A list as one daemon tells it another: whole, or what has changed.
-struct ListCopy {
+struct ListUpdate {
   /// Revision of the store up to which it is complete.
   StoreRevision at;
   /// Whether all items are here; else those since the asker's revision.
@@ -39,7 +39,7 @@
   StoreRevision At() const { return this->at; }
   /// Revision that a peer is to tell the changes since; none asks for all.
   StoreRevision AskSince() const {
-    return this->isDoubtful ? StoreRevision{} : this->at;
+    return this->mayBeIncomplete ? StoreRevision{} : this->at;
   }
 
   /// Takes an item unless a newer one is known; gives whether it is news.
@@ -52,7 +52,7 @@
   /// complete is not known, so that nobody can be told changes from between.
   void Restart(StoreRevision aAt);
   /// Whether the list is known to lack something.
-  bool IsDoubtful() const { return this->isDoubtful; }
+  bool MayBeIncomplete() const { return this->mayBeIncomplete; }
 
   /// Whether an item is known of a later revision.
   bool HasNewer(const std::string& aKey, StoreRevision aRevision) const;
@@ -61,14 +61,14 @@
       const std::vector<StoreItem>& aPresent) const;
 
   /// Whether a peer's copy tells more than is known.
-  bool IsNews(const ListCopy& aCopy) const;
+  bool IsNews(const ListUpdate& aCopy) const;
   /// Keys that a peer's copy takes away.
-  std::vector<std::string> TakenBy(const ListCopy& aCopy) const;
+  std::vector<std::string> RemovedBy(const ListUpdate& aCopy) const;
   /// To be called when a peer's copy has been taken: where the list then
   /// differs from the peer's, the whole list is asked for next.
-  void Complete(const ListCopy& aCopy);
+  void Complete(const ListUpdate& aCopy);
   /// What a peer is told that has the list as of `aSince`.
-  ListCopy CopySince(StoreRevision aSince) const;
+  ListUpdate UpdateSince(StoreRevision aSince) const;
 
  private:
   void Forget(const StoreItem& aItem);
@@ -86,7 +86,7 @@
   StoreRevision gapAfter;
   StoreRevision gapUpTo;
   std::uint64_t digest = 0;
-  bool isDoubtful = false;
+  bool mayBeIncomplete = false;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Cluster/ToldChanges.h
+++ b/Zincstep/Cluster/ObservedChanges.h
@@ -11,7 +11,7 @@
 ///
 /// Each change of the store has the number that follows on the one before, so
 /// that a change which nobody told leaves a gap. Those of one era are kept.
-class ToldChanges {
+class ObservedChanges {
  public:
   /// A change was told, under whatever prefix.
   void Add(StoreRevision aRevision) {
--- a/Zincstep/Cluster/PlacementKeeper.cpp
+++ b/Zincstep/Cluster/PlacementController.cpp
@@ -1,4 +1,4 @@
-#include "Zincstep/Cluster/PlacementKeeper.h"
+#include "Zincstep/Cluster/PlacementController.h"
 
 #include <algorithm>
 
@@ -14,10 +14,11 @@
 
 }  // namespace
 
-PlacementKeeper::PlacementKeeper(PlacementKeeperSettings aSettings,
-                                 AsyncStore& aStore, UpstreamControl& aControl,
-                                 ClusterView& aView, PlanRunner& aPlans,
-                                 const Clock& aClock)
+PlacementController::PlacementController(PlacementControllerSettings aSettings,
+                                         AsyncStore& aStore,
+                                         UpstreamControl& aControl,
+                                         ClusterView& aView, PlanRunner& aPlans,
+                                         const Clock& aClock)
     : settings(std::move(aSettings)),
       store(aStore),
       view(aView),
@@ -25,30 +26,31 @@
       clock(aClock),
       guard(this->settings.lease),
       orders(this->settings.orders, aControl, aView, aClock,
-             [this] { return this->guard.MayAct(this->clock.Now()); }) {}
+             [this] { return this->guard.MayIssueOrders(this->clock.Now()); }) {
+}
 
-void PlacementKeeper::OnHolder(const std::string& aName) {
+void PlacementController::OnLeaderChanged(const std::string& aName) {
   this->holder = aName;
 }
 
-void PlacementKeeper::Tick() {
+void PlacementController::Tick() {
   const Instant now = this->clock.Now();
   if (this->isStopping) {
     return;
   }
   if (this->guard.IsHeld(now)) {
     if (now >= this->guard.RenewAt()) {
-      this->RenewDuty();
+      this->RenewLeadership();
     }
   } else if (this->holder.empty() || this->holder == this->settings.name) {
-    this->TakeDuty();
+    this->AcquireLeadership();
   }
-  if (this->guard.MayAct(now)) {
+  if (this->guard.MayIssueOrders(now)) {
     this->Act(now);
   }
 }
 
-void PlacementKeeper::Stop() {
+void PlacementController::Stop() {
   this->isStopping = true;
   if (!this->guard.IsHeld(this->clock.Now())) {
     return;
@@ -59,7 +61,7 @@
   });
 }
 
-void PlacementKeeper::OnRestored() {
+void PlacementController::OnRestored() {
   const Instant now = this->clock.Now();
   if (this->guard.IsHeld(now)) {
     LogWarning("placement_duty_lost", {{"reason", "the store was restored"}});
@@ -70,9 +72,9 @@
   this->nextAttempt = now + this->settings.lease.ttl;
 }
 
-void PlacementKeeper::TakeDuty() {
+void PlacementController::AcquireLeadership() {
   const Instant sentAt = this->clock.Now();
-  const bool isBarred = this->mayTake && !this->mayTake();
+  const bool isBarred = this->mayCampaign && !this->mayCampaign();
   if (this->isAsking || isBarred || sentAt < this->nextAttempt) {
     return;
   }
@@ -104,7 +106,7 @@
       });
 }
 
-void PlacementKeeper::RenewDuty() {
+void PlacementController::RenewLeadership() {
   if (this->isAsking) {
     return;
   }
@@ -122,8 +124,8 @@
   });
 }
 
-std::vector<PlacedUpstream> PlacementKeeper::Placed(const std::string& aService,
-                                                    Instant aNow) {
+std::vector<PlacedUpstream> PlacementController::Placed(
+    const std::string& aService, Instant aNow) {
   std::vector<PlacedUpstream> placed;
   for (const UpstreamPtr& upstream :
        this->view.Directory().OfService(aService)) {
@@ -136,7 +138,7 @@
     // way its layers are not lost yet.
     const bool isRefusing = upstream->IsRefusing(aNow);
     const bool counts =
-        upstream->IsPresent(aNow) || upstream->IsNewlySuspect(aNow);
+        upstream->IsHealthy(aNow) || upstream->IsNewlySuspect(aNow);
     if (!counts || isRejoining) {
       continue;
     }
@@ -145,14 +147,14 @@
                        upstream->Number()};
     if (const auto expected = this->orders.ExpectedOf(upstream, aNow)) {
       one.layers = *expected;
-      one.takesOrders = false;
+      one.acceptsOrders = false;
     }
     placed.push_back(std::move(one));
   }
   return placed;
 }
 
-std::set<std::string> PlacementKeeper::SteadyDomains(
+std::set<std::string> PlacementController::StableDomains(
     const std::string& aService, const std::vector<PlacedUpstream>& aUpstreams,
     Instant aNow) {
   std::map<std::string, std::vector<std::string>> present;
@@ -165,14 +167,14 @@
     Membership& membership = this->memberships[{aService, domain}];
     if (membership.ids != ids) {
       membership = {std::move(ids), aNow};
-    } else if (aNow - membership.since >= this->settings.steadyTime) {
+    } else if (aNow - membership.since >= this->settings.stableTime) {
       steady.insert(domain);
     }
   }
   return steady;
 }
 
-std::string PlacementKeeper::NextImproved(
+std::string PlacementController::NextImproved(
     const std::vector<PlacedUpstream>& aUpstreams, Instant aNow) {
   if (aNow < this->nextImprove) {
     return "";
@@ -190,7 +192,7 @@
   return this->lastImproved;
 }
 
-void PlacementKeeper::Act(Instant aNow) {
+void PlacementController::Act(Instant aNow) {
   const auto table = this->view.Table();
   if (!table) {
     return;
@@ -202,7 +204,7 @@
   }
 }
 
-void PlacementKeeper::ActOn(const RoutedService& aService, Instant aNow) {
+void PlacementController::ActOn(const RoutedService& aService, Instant aNow) {
   this->NoteRejoins(aService.name, aNow);
   if (this->view.MayLackEntries()) {
     return;
@@ -215,33 +217,33 @@
   this->Plan(aService, this->Observe(aService, aNow), aNow);
 }
 
-void PlacementKeeper::OnBusy(const std::string& aService, Planning& aPlanning,
-                             Instant aNow) {
+void PlacementController::OnBusy(const std::string& aService,
+                                 Planning& aPlanning, Instant aNow) {
   aPlanning.isDue = true;
   const Micros taken = aNow - aPlanning.since;
-  if (taken >= this->settings.longestPlan && !aPlanning.isTold) {
+  if (taken >= this->settings.planTimeout && !aPlanning.isTold) {
     aPlanning.isTold = true;
     LogWarning("placement_plan_late",
                {{"service", aService}, {"taken_ms", taken / 1ms}});
   }
 }
 
-PlacementSituation PlacementKeeper::Observe(const RoutedService& aService,
+PlacementInput PlacementController::Observe(const RoutedService& aService,
                                             Instant aNow) {
-  PlacementSituation situation;
+  PlacementInput situation;
   situation.upstreams = this->Placed(aService.name, aNow);
   situation.demand = this->demand ? this->demand() : std::nullopt;
   if (situation.demand) {
-    situation.steadyDomains =
-        this->SteadyDomains(aService.name, situation.upstreams, aNow);
+    situation.stableDomains =
+        this->StableDomains(aService.name, situation.upstreams, aNow);
   }
   situation.onlyImproved = this->NextImproved(situation.upstreams, aNow);
   situation.turn = this->looks;
   return situation;
 }
 
-void PlacementKeeper::Plan(const RoutedService& aService,
-                           PlacementSituation aSituation, Instant aNow) {
+void PlacementController::Plan(const RoutedService& aService,
+                               PlacementInput aSituation, Instant aNow) {
   this->plannings[aService.name] = {true, false, false, aNow, this->fence};
   PlanTask task{*aService.model, aSituation};
   this->plans.Start(std::move(task), [this, service = aService,
@@ -251,9 +253,9 @@
   });
 }
 
-void PlacementKeeper::OnPlan(const RoutedService& aService,
-                             const PlacementSituation& aSituation,
-                             const PlanOutcome& aPlan) {
+void PlacementController::OnPlan(const RoutedService& aService,
+                                 const PlacementInput& aSituation,
+                                 const PlanOutcome& aPlan) {
   const Instant now = this->clock.Now();
   Planning& planning = this->plannings[aService.name];
   planning.isUnderWay = false;
@@ -261,9 +263,9 @@
     this->looks += 1;
     this->nextImprove = now + this->settings.improveShare * aPlan.taken;
   }
-  const bool isLate = now - planning.since > this->settings.longestPlan;
+  const bool isLate = now - planning.since > this->settings.planTimeout;
   const bool isOfTerm = planning.fence == this->fence;
-  if (isLate || !isOfTerm || !this->guard.MayAct(now)) {
+  if (isLate || !isOfTerm || !this->guard.MayIssueOrders(now)) {
     LogInfo("placement_plan_dropped", {{"service", aService.name},
                                        {"taken_ms", aPlan.taken / 1ms},
                                        {"orders", aPlan.orders.size()},
@@ -285,14 +287,14 @@
   }
 }
 
-bool PlacementKeeper::IsAsPlanned(const PlacedUpstream& aUpstream) const {
+bool PlacementController::IsAsPlanned(const PlacedUpstream& aUpstream) const {
   const UpstreamPtr upstream = this->view.Directory().Find(aUpstream.id);
   return upstream && upstream->Number() == aUpstream.incarnation &&
          upstream->Entry().layers == aUpstream.layers &&
          !this->orders.IsUnderWay(aUpstream.id);
 }
 
-bool PlacementKeeper::IsSettled(const std::string& aService, Instant aNow) {
+bool PlacementController::IsSettled(const std::string& aService, Instant aNow) {
   const auto& upstreams = this->view.Directory().OfService(aService);
   Growth& growth = this->growths[aService];
   const bool isEmpty = std::all_of(
@@ -309,10 +311,11 @@
   }
   return growth.count > 0 &&
          (aNow - growth.changedAt >= this->settings.settleTime ||
-          aNow - growth.firstAt >= this->settings.longestSettle);
+          aNow - growth.firstAt >= this->settings.maxSettleTime);
 }
 
-void PlacementKeeper::NoteRejoins(const std::string& aService, Instant aNow) {
+void PlacementController::NoteRejoins(const std::string& aService,
+                                      Instant aNow) {
   Listing& listing = this->listings[aService];
   const std::uint64_t changes = this->view.Directory().Changes();
   if (listing.changes == changes) {
