--- a/Zincstep/Cluster/PlacementKeeper.h
+++ b/Zincstep/Cluster/PlacementController.h
@@ -16,7 +16,7 @@
 namespace zincstep {
 
 /// Settings of the placement duty.
-struct PlacementKeeperSettings {
+struct PlacementControllerSettings {
   /// This daemon's name, which stands in the store while it has the duty.
   std::string name;
   /// Key of the duty.
@@ -25,11 +25,11 @@
   LeaseGuardSettings lease{2s, 500ms};
   /// A plan that takes longer is told of, and its orders are dropped: they are
   /// for a pool that has changed since.
-  Micros longestPlan = 2s;
+  Micros planTimeout = 2s;
   PlacementOrdersSettings orders;
   /// A failure domain is changed to serve better once its upstreams have been
   /// the same for so long: losses often come together.
-  Micros steadyTime = 1s;
+  Micros stableTime = 1s;
   /// An empty pool is laid out once no upstream has joined for so long:
   /// upstreams announce themselves about once in this time.
   Micros settleTime = 1300ms;
@@ -44,25 +44,25 @@
   /// that cut what ran, 160 of 500 answers late to the end of the day).
   Micros rejoinTime = 2400ms;
   /// Longest wait for that.
-  Micros longestSettle = 4s;
+  Micros maxSettleTime = 4s;
 };
 
 /// Takes the duty to place layers by a lease, and fulfils it.
 ///
 /// At most one daemon has the duty. It compares what the upstreams hold
 /// with the plan and gives orders for the difference.
-class PlacementKeeper {
+class PlacementController {
  public:
-  PlacementKeeper(PlacementKeeperSettings aSettings, AsyncStore& aStore,
-                  UpstreamControl& aControl, ClusterView& aView,
-                  PlanRunner& aPlans, const Clock& aClock);
+  PlacementController(PlacementControllerSettings aSettings, AsyncStore& aStore,
+                      UpstreamControl& aControl, ClusterView& aView,
+                      PlanRunner& aPlans, const Clock& aClock);
 
   /// The duty's key as the daemons' own prefix shows it; empty: free.
-  void OnHolder(const std::string& aName);
+  void OnLeaderChanged(const std::string& aName);
   /// Says whether this daemon hears from the store itself, and so may take
   /// the duty: of many daemons that find it free a few ask for it.
-  void SetMayTake(std::function<bool()> aMayTake) {
-    this->mayTake = std::move(aMayTake);
+  void SetMayCampaign(std::function<bool()> aMayCampaign) {
+    this->mayCampaign = std::move(aMayCampaign);
   }
   /// Tells what all callers need, in tokens in flight, where it is known.
   void SetDemand(std::function<std::optional<ObservedDemand>()> aDemand) {
@@ -76,11 +76,11 @@
   /// nobody takes it while whoever held it may not know that yet.
   void OnRestored();
 
-  bool HasDuty() const { return this->guard.IsHeld(this->clock.Now()); }
+  bool IsLeader() const { return this->guard.IsHeld(this->clock.Now()); }
 
  private:
-  void TakeDuty();
-  void RenewDuty();
+  void AcquireLeadership();
+  void RenewLeadership();
   /// The plan of a service that is being made, or was made last.
   struct Planning {
     bool isUnderWay = false;
@@ -95,11 +95,11 @@
 
   void Act(Instant aNow);
   void ActOn(const RoutedService& aService, Instant aNow);
-  PlacementSituation Observe(const RoutedService& aService, Instant aNow);
-  void Plan(const RoutedService& aService, PlacementSituation aSituation,
+  PlacementInput Observe(const RoutedService& aService, Instant aNow);
+  void Plan(const RoutedService& aService, PlacementInput aSituation,
             Instant aNow);
-  void OnPlan(const RoutedService& aService,
-              const PlacementSituation& aSituation, const PlanOutcome& aPlan);
+  void OnPlan(const RoutedService& aService, const PlacementInput& aSituation,
+              const PlanOutcome& aPlan);
   /// Whether the upstream is still as the plan found it.
   bool IsAsPlanned(const PlacedUpstream& aUpstream) const;
   /// Notes that a service's plan is due while another is under way.
@@ -108,14 +108,14 @@
   bool IsSettled(const std::string& aService, Instant aNow);
   std::vector<PlacedUpstream> Placed(const std::string& aService, Instant aNow);
   /// The failure domains whose upstreams have been the same for a while.
-  std::set<std::string> SteadyDomains(
+  std::set<std::string> StableDomains(
       const std::string& aService,
       const std::vector<PlacedUpstream>& aUpstreams, Instant aNow);
   /// The failure domain whose turn it is to be looked at; empty: none's.
   std::string NextImproved(const std::vector<PlacedUpstream>& aUpstreams,
                            Instant aNow);
 
-  PlacementKeeperSettings settings;
+  PlacementControllerSettings settings;
   AsyncStore& store;
   ClusterView& view;
   PlanRunner& plans;
@@ -128,7 +128,7 @@
   std::string holder;
   bool isAsking = false;
   bool isStopping = false;
-  std::function<bool()> mayTake;
+  std::function<bool()> mayCampaign;
   std::function<std::optional<ObservedDemand>()> demand;
   Instant nextAttempt{};
   /// How an empty pool has grown.
@@ -148,7 +148,7 @@
   std::map<std::pair<std::string, std::string>, Membership> memberships;
   std::string lastImproved;
   Instant nextImprove{};
-  /// Looks so far; see `PlacementSituation::turn`.
+  /// Looks so far; see `PlacementInput::turn`.
   std::uint64_t looks = 0;
   /// By service.
   std::map<std::string, Planning> plannings;
--- a/Zincstep/Cluster/PlacementOrders.cpp
+++ b/Zincstep/Cluster/PlacementOrders.cpp
@@ -7,12 +7,12 @@
 PlacementOrders::PlacementOrders(PlacementOrdersSettings aSettings,
                                  UpstreamControl& aControl, ClusterView& aView,
                                  const Clock& aClock,
-                                 std::function<bool()> aMayAct)
+                                 std::function<bool()> aMayIssueOrders)
     : settings(aSettings),
       control(aControl),
       view(aView),
       clock(aClock),
-      mayAct(std::move(aMayAct)) {}
+      mayIssueOrders(std::move(aMayIssueOrders)) {}
 
 void PlacementOrders::Clear() {
   this->pending.clear();
@@ -34,10 +34,11 @@
 }
 
 void PlacementOrders::GiveWaiting() {
-  while (!this->waiting.empty() && this->called < this->settings.mostCalled) {
+  while (!this->waiting.empty() &&
+         this->called < this->settings.maxConcurrentCalls) {
     const Waiting next = std::move(this->waiting.front());
     this->waiting.pop_front();
-    if (!this->mayAct()) {
+    if (!this->mayIssueOrders()) {
       this->pending.erase(next.order.id);
       continue;
     }
@@ -67,7 +68,7 @@
   const LayerRange layers = aWaiting.order.layers;
   // The count of orders in a report is that of the start which gave it.
   const bool isListed = this->view.Directory().Find(id) == upstream;
-  if (!isListed || !this->mayAct()) {
+  if (!isListed || !this->mayIssueOrders()) {
     this->EndCall();
     return;
   }
@@ -129,7 +130,7 @@
     this->Hold(upstream, order.layers,
                aWaiting.loadTime + this->settings.unansweredPause,
                AtEnd::Check);
-  } else if (aOutcome->answer != OrderAnswer::Taken) {
+  } else if (aOutcome->answer != OrderStatus::Taken) {
     LogWarning("placement_refused", {{"upstream", order.id}});
     this->Hold(upstream, order.layers, this->settings.refusedPause,
                AtEnd::Forget);
@@ -159,7 +160,7 @@
 }
 
 void PlacementOrders::Check(const UpstreamPtr& aUpstream, Order& aOrder) {
-  if (this->called >= this->settings.mostCalled) {
+  if (this->called >= this->settings.maxConcurrentCalls) {
     return;  // The next look asks.
   }
   this->called += 1;
--- a/Zincstep/Cluster/PlacementOrders.h
+++ b/Zincstep/Cluster/PlacementOrders.h
@@ -25,7 +25,7 @@
   Micros reportTimeout = 500ms;
   /// Upstreams that are called at once. With 3,000 at once a daemon had 6,354
   /// connections, of 4,100 that its VM allows, and answers came too late.
-  int mostCalled = 64;
+  int maxConcurrentCalls = 64;
 };
 
 /// Gives orders to upstreams, and knows which are under way.
@@ -38,10 +38,11 @@
 /// an upstream that still loads would undo the first.
 class PlacementOrders {
  public:
-  /// `aMayAct` tells whether this daemon has the duty; asked before each order.
+  /// `aMayIssueOrders` tells whether this daemon has the duty; asked before
+  /// each order.
   PlacementOrders(PlacementOrdersSettings aSettings, UpstreamControl& aControl,
                   ClusterView& aView, const Clock& aClock,
-                  std::function<bool()> aMayAct);
+                  std::function<bool()> aMayIssueOrders);
 
   /// Gives an order, at once or when fewer upstreams are called.
   void Give(const ModelShape& aModel, const PlacementOrder& aOrder);
@@ -94,7 +95,7 @@
   UpstreamControl& control;
   ClusterView& view;
   const Clock& clock;
-  std::function<bool()> mayAct;
+  std::function<bool()> mayIssueOrders;
   /// By id of the upstream.
   std::map<std::string, Order> pending;
   std::deque<Waiting> waiting;
--- a/Zincstep/Cluster/PlanRunner.h
+++ b/Zincstep/Cluster/PlanRunner.h
@@ -11,13 +11,13 @@
 /// change.
 struct PlanTask {
   ModelShape model;
-  PlacementSituation situation;
+  PlacementInput situation;
 };
 
 /// A plan and what it took.
 struct PlanOutcome {
   std::vector<PlacementOrder> orders;
-  PlanEffort effort;
+  PlanCost effort;
   Micros taken{0};
 };
 
--- a/Zincstep/Cluster/PrefixMirror.cpp
+++ b/Zincstep/Cluster/PrefixMirror.cpp
@@ -26,11 +26,11 @@
   this->list.Advance(aEvents.at);
 }
 
-bool PrefixMirror::OnCopy(const ListCopy& aCopy) {
+bool PrefixMirror::OnUpdate(const ListUpdate& aCopy) {
   if (!this->list.IsNews(aCopy)) {
     return false;
   }
-  for (const std::string& key : this->list.TakenBy(aCopy)) {
+  for (const std::string& key : this->list.RemovedBy(aCopy)) {
     this->list.Remove(key, aCopy.at);
   }
   for (const StoreItem& item : aCopy.items) {
--- a/Zincstep/Cluster/PrefixMirror.h
+++ b/Zincstep/Cluster/PrefixMirror.h
@@ -16,7 +16,7 @@
   /// Changes of some, from the store.
   void OnEvents(const StoreEvents& aEvents);
   /// What a peer tells; gives whether it was news.
-  bool OnCopy(const ListCopy& aCopy);
+  bool OnUpdate(const ListUpdate& aCopy);
 
   const ItemList& List() const { return this->list; }
   const StoreItems& Items() const { return this->list.Items(); }
--- a/Zincstep/Cluster/StoreEras.cpp
+++ b/Zincstep/Cluster/StoreEraTracker.cpp
@@ -1,8 +1,8 @@
-#include "Zincstep/Cluster/StoreEras.h"
+#include "Zincstep/Cluster/StoreEraTracker.h"
 
 namespace zincstep {
 
-void StoreEras::Note(std::uint64_t aEra) {
+void StoreEraTracker::Note(std::uint64_t aEra) {
   if (this->present && aEra <= *this->present) {
     return;
   }
@@ -13,8 +13,8 @@
   }
 }
 
-bool StoreEras::Accepts(std::optional<std::uint64_t> aAsked,
-                        std::uint64_t aAnswered) {
+bool StoreEraTracker::Accepts(std::optional<std::uint64_t> aAsked,
+                              std::uint64_t aAnswered) {
   this->Note(aAnswered);
   const bool isAskedNow = !aAsked || *aAsked == *this->present;
   return isAskedNow && aAnswered == *this->present;
--- a/Zincstep/Cluster/StoreEras.h
+++ b/Zincstep/Cluster/StoreEraTracker.h
@@ -12,7 +12,7 @@
 /// Each answer tells the era of the store that gave it. One that was asked for
 /// in another era is about numbers that stand for other changes now: a
 /// condition may hold by chance, a watch may pass over what was lost.
-class StoreEras {
+class StoreEraTracker {
  public:
   /// Called with the era before and the present one.
   using OnRestored = std::function<void(std::uint64_t, std::uint64_t)>;
--- a/Zincstep/Cluster/StoreFollower.cpp
+++ b/Zincstep/Cluster/StoreFollower.cpp
@@ -38,7 +38,7 @@
       onEvents(std::move(aOnEvents)),
       onCaughtUp(std::move(aOnCaughtUp)),
       timer(aLoop),
-      retry(aPauses.firstRetry) {}
+      retry(aPauses.initialBackoff) {}
 
 void PrefixFollower::BeginRound() {
   this->round += 1;
@@ -51,7 +51,7 @@
 void PrefixFollower::Restart() {
   this->BeginRound();
   this->isPaused = false;
-  this->retry = this->pauses.firstRetry;
+  this->retry = this->pauses.initialBackoff;
   this->Read(this->round);
 }
 
@@ -70,7 +70,7 @@
       this->RetryLater(aRound);
       return;
     }
-    this->retry = this->pauses.firstRetry;
+    this->retry = this->pauses.initialBackoff;
     this->at = aRange->at;
     this->onRange(WithoutPrefix(std::move(*aRange), this->prefix));
     this->isWatching = true;
@@ -175,7 +175,7 @@
 void PrefixFollower::RetryLater(std::uint64_t aRound) {
   this->isWatching = false;
   this->timer.expires_after(this->retry);
-  this->retry = std::min(this->retry * 2, this->pauses.longestRetry);
+  this->retry = std::min(this->retry * 2, this->pauses.maxBackoff);
   this->timer.async_wait([this, aRound](const asio::error_code& aError) {
     if (!aError && aRound == this->round) {
       this->Read(aRound);
@@ -190,8 +190,8 @@
       store(aStore),
       view(aView),
       clock(aClock),
-      proofTimer(aLoop),
-      earlyTimer(aLoop),
+      validationTimer(aLoop),
+      bootstrapTimer(aLoop),
       upstreams(
           aLoop, aStore, aClock, this->settings.keys.upstreams,
           this->settings.upstreamPauses,
@@ -200,7 +200,7 @@
             this->NoteTold(aEvents);
             this->view.OnUpstreamEvents(aEvents);
           },
-          [this] { this->ProveLists(); }),
+          [this] { this->ValidateLists(); }),
       own(
           aLoop, aStore, aClock, this->settings.keys.own,
           this->settings.ownPauses,
@@ -209,47 +209,47 @@
             this->NoteTold(aEvents);
             this->view.OnDaemonEvents(aEvents);
           },
-          [this] { this->ProveLists(); }) {
+          [this] { this->ValidateLists(); }) {
   this->upstreams.Pause();
   this->own.Pause();
 }
 
 void StoreFollower::Start(bool aPeersFirst) {
   if (aPeersFirst) {
-    this->peersFirstSince = this->clock.Now();
-    this->ReadEarlyDaemons();
+    this->awaitingPeersSince = this->clock.Now();
+    this->ReadBootstrapDaemons();
   }
-  this->Prove();
+  this->Validate();
 }
 
-void StoreFollower::ReadEarlyDaemons() {
+void StoreFollower::ReadBootstrapDaemons() {
   const std::string& prefix = this->settings.keys.near;
   this->store.RangeStale(
       prefix, StalePages::All, [this, prefix](Result<StoreRange> aRange) {
         if (!aRange) {
           LogStaleReadFailed(prefix, aRange.error());
-          this->OnEarly({});
+          this->OnBootstrap({});
           return;
         }
-        this->OnEarly(
+        this->OnBootstrap(
             WithoutPrefix(std::move(*aRange), this->settings.keys.own).items);
       });
 }
 
-void StoreFollower::OnEarly(const std::vector<StoreItem>& aDaemons) {
-  const bool knowsPeers = !this->onEarly || this->onEarly(aDaemons);
+void StoreFollower::OnBootstrap(const std::vector<StoreItem>& aDaemons) {
+  const bool knowsPeers = !this->onBootstrap || this->onBootstrap(aDaemons);
   if (this->MayAsk()) {
     this->ReadStaleUpstreams();
-    this->Prove();
+    this->Validate();
     return;
   }
   if (knowsPeers) {
     return;
   }
-  this->earlyTimer.expires_after(this->settings.earlyPause);
-  this->earlyTimer.async_wait([this](const asio::error_code& aError) {
+  this->bootstrapTimer.expires_after(this->settings.bootstrapInterval);
+  this->bootstrapTimer.async_wait([this](const asio::error_code& aError) {
     if (!aError) {
-      this->ReadEarlyDaemons();
+      this->ReadBootstrapDaemons();
     }
   });
 }
@@ -269,26 +269,27 @@
 }
 
 bool StoreFollower::WaitsForPeers() const {
-  if (!this->peersFirstSince || !this->HasTeller()) {
+  if (!this->awaitingPeersSince || !this->HasSyncSource()) {
     return false;
   }
-  const Micros waited = this->clock.Now() - *this->peersFirstSince;
+  const Micros waited = this->clock.Now() - *this->awaitingPeersSince;
   const auto rank = static_cast<std::int64_t>(this->Rank());
-  const Micros patience = this->IsFresh() ? this->settings.longestStart
-                                          : this->settings.startPatience;
-  return waited < patience + rank * this->settings.patienceStep;
+  const Micros patience = this->IsFresh() ? this->settings.maxStartWait
+                                          : this->settings.syncSourceTimeout;
+  return waited < patience + rank * this->settings.syncTimeoutStep;
 }
 
 bool StoreFollower::IsFresh() const {
-  const auto proof = this->view.ProofAge();
+  const auto proof = this->view.ValidationAge();
   const auto lists = this->view.ListsAge();
   // Before the first proof the lists count alone.
-  return lists && *lists <= this->settings.longestReliance &&
-         (!proof || *proof <= this->settings.longestReliance);
+  return lists && *lists <= this->settings.maxSyncStaleness &&
+         (!proof || *proof <= this->settings.maxSyncStaleness);
 }
 
-bool StoreFollower::Relies() const {
-  return this->mayRely && this->mayRely() && this->IsFresh();
+bool StoreFollower::IsSyncingFromPeer() const {
+  return this->hasFreshSyncSource && this->hasFreshSyncSource() &&
+         this->IsFresh();
 }
 
 void StoreFollower::FollowLists(bool aFollows) {
@@ -304,83 +305,83 @@
   }
 }
 
-void StoreFollower::Prove() {
-  const bool relies = this->Relies();
+void StoreFollower::Validate() {
+  const bool relies = this->IsSyncingFromPeer();
   if (relies || !this->MayAsk()) {
     if (relies && !this->isReached) {
       this->SetReached(StoreCommit{});  // By the peer that asks it.
     }
     this->FollowLists(false);
-    this->ProveAfter(this->settings.reliancePause);
+    this->ValidateAfter(this->settings.syncCheckInterval);
     return;
   }
-  if (this->isProving) {
+  if (this->isValidating) {
     return;
   }
-  this->isProving = true;
+  this->isValidating = true;
   StoreChange check;
   check.key = this->settings.keys.configuration;
-  check.expected = this->view.ConfigFoundAt();
+  check.expected = this->view.ConfigStoreRevision();
   const StoreRevision checked = check.expected;
   const Instant began = this->clock.Now();
-  this->store.Commit(std::move(check),
-                     [this, checked, began](Result<StoreCommit> aResult) {
-                       this->isProving = false;
-                       this->OnProved(checked, began, std::move(aResult));
-                     });
+  this->store.Commit(
+      std::move(check), [this, checked, began](Result<StoreCommit> aResult) {
+        this->isValidating = false;
+        this->OnValidationResult(checked, began, std::move(aResult));
+      });
 }
 
-void StoreFollower::OnProved(StoreRevision aChecked, Instant aBegan,
-                             Result<StoreCommit> aResult) {
+void StoreFollower::OnValidationResult(StoreRevision aChecked, Instant aBegan,
+                                       Result<StoreCommit> aResult) {
   if (!aResult && aResult.error().kind == ErrorKind::StoreRestored) {
-    this->ProveAfter(Micros{0});
+    this->ValidateAfter(Micros{0});
     return;
   }
   this->SetReached(aResult);
   // Lists are read only from a store that has just answered: begun beside the
   // proof, 406 reads were in vain in an outage of eight seconds (295 daemons).
-  this->FollowLists(aResult && !this->Relies() && this->MayAsk() &&
+  this->FollowLists(aResult && !this->IsSyncingFromPeer() && this->MayAsk() &&
                     !this->WaitsForPeers());
   Micros pause =
-      aResult ? this->settings.proofInterval : this->PauseWhileAway();
+      aResult ? this->settings.validationInterval : this->PauseWhileAway();
   if (aResult && aResult->done) {
-    this->view.OnProof(aChecked, aBegan);
+    this->view.OnValidated(aChecked, aBegan);
     this->OnStoreState({aResult->revision, aBegan});
   } else if (aResult && aResult->present) {
     this->view.OnConfiguration(*aResult->present);
-    this->view.OnProof(aResult->present->revision, aBegan);
+    this->view.OnValidated(aResult->present->revision, aBegan);
     this->told.Add(aResult->present->revision);
-    if (this->view.ConfigFoundAt() > aChecked) {
+    if (this->view.ConfigStoreRevision() > aChecked) {
       pause = Micros{0};  // This proof has not told the store's revision.
     }
   }
   if (!this->view.Table()) {
-    pause = this->settings.firstRetry;
+    pause = this->settings.initialBackoff;
   }
   const Micros taken = this->clock.Now() - aBegan;
-  this->ProveAfter(std::max<Micros>(
-      pause - taken, aResult ? Micros{0} : this->settings.firstRetry));
+  this->ValidateAfter(std::max<Micros>(
+      pause - taken, aResult ? Micros{0} : this->settings.initialBackoff));
 }
 
 void StoreFollower::OnRestored() {
-  this->told = ToldChanges{};
+  this->told = ObservedChanges{};
   this->lastState.reset();
-  if (this->HasTeller()) {
+  if (this->HasSyncSource()) {
     // One daemon of the domain reads for all; what it tells is of the new era.
-    this->peersFirstSince = this->clock.Now();
+    this->awaitingPeersSince = this->clock.Now();
   }
   for (PrefixFollower* follower : {&this->upstreams, &this->own}) {
     if (!follower->IsPaused()) {
       follower->Restart();
     }
   }
-  this->ProveAfter(Micros{0});
+  this->ValidateAfter(Micros{0});
 }
 
 void StoreFollower::OnStoreState(StoreState aState) {
   this->lastState = aState;
   this->SkipTold();
-  this->ProveLists();
+  this->ValidateLists();
   this->upstreams.CatchUp(aState.revision);
   this->own.CatchUp(aState.revision);
 }
@@ -400,40 +401,40 @@
   this->told.Forget(std::min(this->upstreams.At(), this->own.At()));
 }
 
-void StoreFollower::ProveLists() {
+void StoreFollower::ValidateLists() {
   // That the store answers does not show that the watches do: on a connection
   // that had fallen silent one told nothing for 6.7 s, and lists that were
   // called fresh all along held four upstreams that were gone.
   if (this->lastState && this->upstreams.Knows(this->lastState->revision) &&
       this->own.Knows(this->lastState->revision)) {
-    this->view.OnListsProven(this->lastState->at);
+    this->view.OnListsValidated(this->lastState->at);
   }
 }
 
 Micros StoreFollower::PauseWhileAway() const {
   // Daemons after the first ask the less often the more ask before them.
   const auto share = static_cast<std::int64_t>(1 + this->Rank());
-  return std::min(share * this->settings.proofInterval,
-                  this->settings.longestProofPause);
+  return std::min(share * this->settings.validationInterval,
+                  this->settings.maxValidationInterval);
 }
 
-void StoreFollower::ProveAfter(Micros aPause) {
-  this->proofTimer.expires_after(aPause);
-  this->proofTimer.async_wait([this](const asio::error_code& aError) {
+void StoreFollower::ValidateAfter(Micros aPause) {
+  this->validationTimer.expires_after(aPause);
+  this->validationTimer.async_wait([this](const asio::error_code& aError) {
     if (!aError) {
-      this->Prove();
+      this->Validate();
     }
   });
 }
 
 void StoreFollower::SetReached(const Result<StoreCommit>& aAnswer) {
-  if (aAnswer && !this->isReached && this->HasTeller()) {
+  if (aAnswer && !this->isReached && this->HasSyncSource()) {
     // A domain that was cut off is back: one of its daemons reads for all.
-    this->peersFirstSince = this->clock.Now();
+    this->awaitingPeersSince = this->clock.Now();
   }
   this->isReached = aAnswer.has_value();
-  this->view.OnStoreReached(this->isReached,
-                            aAnswer ? "" : aAnswer.error().message);
+  this->view.OnStoreReachable(this->isReached,
+                              aAnswer ? "" : aAnswer.error().message);
 }
 
 }  // namespace zincstep
--- a/Zincstep/Cluster/StoreFollower.h
+++ b/Zincstep/Cluster/StoreFollower.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "Zincstep/Cluster/ClusterView.h"
-#include "Zincstep/Cluster/ToldChanges.h"
+#include "Zincstep/Cluster/ObservedChanges.h"
 
 namespace zincstep {
 
@@ -28,8 +28,8 @@
   Micros watchWait = 6s;
   /// Pause before the next watch after one that told of changes.
   Micros gather = 200ms;
-  Micros firstRetry = 150ms;
-  Micros longestRetry = 1s;
+  Micros initialBackoff = 150ms;
+  Micros maxBackoff = 1s;
 };
 
 /// Settings of a store follower.
@@ -37,23 +37,23 @@
   ClusterKeys keys;
   /// Time between proofs that the configuration is the newest one: well
   /// under the time within which one must be in force everywhere.
-  Micros proofInterval = 700ms;
+  Micros validationInterval = 700ms;
   /// While a peer proves for this daemon and tells it the lists, it looks
   /// this often whether that goes on, and asks the store by itself once
-  /// either is older than `longestReliance`: one proof and its way (up to 1.2 s
-  /// with the pauses between questions) are overdue then.
-  Micros reliancePause = 150ms;
-  Micros longestReliance = 1350ms;
+  /// either is older than `maxSyncStaleness`: one proof and its way (up to 1.2
+  /// s with the pauses between questions) are overdue then.
+  Micros syncCheckInterval = 150ms;
+  Micros maxSyncStaleness = 1350ms;
   /// A daemon that may ask the store as it starts, or that reaches it again,
   /// leaves the lists to its teller. Where that has not told them by then it
   /// reads them itself: two questions to the teller and the teller's own
   /// reading take less.
-  Micros startPatience = 1200ms;
+  Micros syncSourceTimeout = 1200ms;
   /// The same where peers do answer, but not yet the one to rely on.
-  Micros longestStart = 3s;
+  Micros maxStartWait = 3s;
   /// So much later than the one before it does a daemon read the lists by
   /// itself.
-  Micros patienceStep = 20ms;
+  Micros syncTimeoutStep = 20ms;
   /// Daemons of a failure domain that read the upstreams' list however long it
   /// is when they start; the others leave a long one to them. When 300 that
   /// started together each read the 1.4 MB of 3,000 upstreams, all reads ran
@@ -66,12 +66,12 @@
   /// The daemons' own entries change seldom, and late news of them costs
   /// little.
   PrefixPauses ownPauses{15s, 1s, 150ms, 1s};
-  Micros firstRetry = 150ms;
+  Micros initialBackoff = 150ms;
   /// Longest pause between questions of one daemon while the store does not
   /// answer.
-  Micros longestProofPause = 5600ms;
+  Micros maxValidationInterval = 5600ms;
   /// Between reads of the domain's daemons while none is known.
-  Micros earlyPause = 500ms;
+  Micros bootstrapInterval = 500ms;
 };
 
 /// Follows all items under one prefix: reads them, then watches.
@@ -157,16 +157,16 @@
   void Start(bool aPeersFirst);
 
   /// Says whether a peer asks the store for this daemon too.
-  void SetMayRely(std::function<bool()> aMayRely) {
-    this->mayRely = std::move(aMayRely);
+  void SetHasFreshSyncSource(std::function<bool()> aHasFreshSyncSource) {
+    this->hasFreshSyncSource = std::move(aHasFreshSyncSource);
   }
   /// Says whether this daemon is to ask the store where nobody does so for it.
-  void SetMayAsk(std::function<bool()> aMayAsk) {
-    this->mayAsk = std::move(aMayAsk);
+  void SetMayQueryStore(std::function<bool()> aMayQueryStore) {
+    this->mayAsk = std::move(aMayQueryStore);
   }
   /// Says whether a peer would tell this daemon once the store answers.
-  void SetHasTeller(std::function<bool()> aHasTeller) {
-    this->hasTeller = std::move(aHasTeller);
+  void SetHasSyncSource(std::function<bool()> aHasSyncSource) {
+    this->hasSyncSource = std::move(aHasSyncSource);
   }
   /// Says how many daemons of this failure domain come before this one.
   void SetRank(std::function<std::size_t()> aRank) {
@@ -174,9 +174,9 @@
   }
   /// Told of the failure domain's daemons as they were lately; says whether any
   /// are known now, by whatever way.
-  using OnEarlyDaemons = std::function<bool(const std::vector<StoreItem>&)>;
-  void SetOnEarlyDaemons(OnEarlyDaemons aOnEarly) {
-    this->onEarly = std::move(aOnEarly);
+  using OnBootstrapDaemons = std::function<bool(const std::vector<StoreItem>&)>;
+  void SetOnBootstrapDaemons(OnBootstrapDaemons aOnBootstrap) {
+    this->onBootstrap = std::move(aOnBootstrap);
   }
   /// Whether this daemon asks the store itself.
   bool IsDirect() const { return !this->own.IsPaused(); }
@@ -192,16 +192,18 @@
   };
 
   /// Reads the domain's daemons until any are known.
-  void ReadEarlyDaemons();
-  void OnEarly(const std::vector<StoreItem>& aDaemons);
+  void ReadBootstrapDaemons();
+  void OnBootstrap(const std::vector<StoreItem>& aDaemons);
   /// Reads the upstreams' list as it was lately, as a base for what peers tell;
   /// only the domain's first daemons read a long one.
   void ReadStaleUpstreams();
   std::size_t Rank() const { return this->rank ? this->rank() : 0; }
   bool MayAsk() const { return !this->mayAsk || this->mayAsk(); }
-  bool HasTeller() const { return this->hasTeller && this->hasTeller(); }
-  void Prove();
-  bool Relies() const;
+  bool HasSyncSource() const {
+    return this->hasSyncSource && this->hasSyncSource();
+  }
+  void Validate();
+  bool IsSyncingFromPeer() const;
   /// Whether what it knows is new enough to leave the store to a peer.
   bool IsFresh() const;
   /// Whether this daemon has just started, or reached the store again, and
@@ -209,41 +211,41 @@
   bool WaitsForPeers() const;
   /// Follows the lists, or leaves them to a peer.
   void FollowLists(bool aFollows);
-  void ProveAfter(Micros aPause);
+  void ValidateAfter(Micros aPause);
   /// Pause between calls while the store does not answer.
   Micros PauseWhileAway() const;
-  void OnProved(StoreRevision aChecked, Instant aBegan,
-                Result<StoreCommit> aResult);
+  void OnValidationResult(StoreRevision aChecked, Instant aBegan,
+                          Result<StoreCommit> aResult);
   void OnStoreState(StoreState aState);
   void NoteTold(const StoreEvents& aEvents);
   /// Changes under one prefix are none under the other.
   void SkipTold();
   /// Takes the lists as proven if they hold all that the store held at the
   /// last proof.
-  void ProveLists();
+  void ValidateLists();
   void SetReached(const Result<StoreCommit>& aAnswer);
 
   StoreFollowerSettings settings;
   AsyncStore& store;
   ClusterView& view;
   const Clock& clock;
-  asio::steady_timer proofTimer;
-  asio::steady_timer earlyTimer;
-  std::function<bool()> mayRely;
+  asio::steady_timer validationTimer;
+  asio::steady_timer bootstrapTimer;
+  std::function<bool()> hasFreshSyncSource;
   std::function<bool()> mayAsk;
-  std::function<bool()> hasTeller;
+  std::function<bool()> hasSyncSource;
   std::function<std::size_t()> rank;
-  OnEarlyDaemons onEarly;
+  OnBootstrapDaemons onBootstrap;
   PrefixFollower upstreams;
   PrefixFollower own;
   /// Of both prefixes, and of the configuration.
-  ToldChanges told;
+  ObservedChanges told;
   /// What the last proof told of the store.
   std::optional<StoreState> lastState;
   bool isReached = true;
-  bool isProving = false;
+  bool isValidating = false;
   /// When it began to wait for the peers' lists; none: it does not.
-  std::optional<Instant> peersFirstSince;
+  std::optional<Instant> awaitingPeersSince;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Config/ConfigurationParser.cpp
+++ b/Zincstep/Config/ConfigurationParser.cpp
@@ -155,7 +155,7 @@
 class ReferenceCheck {
  public:
   ReferenceCheck(const Configuration& aConfiguration,
-                 std::vector<ConfigurationFault>& aFaults)
+                 std::vector<ConfigurationError>& aFaults)
       : configuration(aConfiguration), faults(aFaults) {}
 
   void Run() {
@@ -267,7 +267,7 @@
   }
 
   const Configuration& configuration;
-  std::vector<ConfigurationFault>& faults;
+  std::vector<ConfigurationError>& faults;
   NameSet domains;
   NameSet kinds;
   NameSet models;
@@ -315,7 +315,7 @@
 
 }  // namespace
 
-std::string ConfigurationFault::Describe() const {
+std::string ConfigurationError::Describe() const {
   const std::string place =
       this->line > 0 ? "line " + std::to_string(this->line) + ": " : "";
   const std::string where = this->path.empty() ? "the file" : this->path;
--- a/Zincstep/Config/ConfigurationParser.h
+++ b/Zincstep/Config/ConfigurationParser.h
@@ -8,7 +8,7 @@
 namespace zincstep {
 
 /// One fault in an operators' file.
-struct ConfigurationFault {
+struct ConfigurationError {
   /// Line in the file, from 1; 0 where the fault has no line.
   int line = 0;
   /// Path of the faulty value, such as `upstreams[3].layers`.
@@ -23,7 +23,7 @@
 /// A parsed file, or all of its faults together.
 struct ParsedConfiguration {
   Configuration configuration;
-  std::vector<ConfigurationFault> faults;
+  std::vector<ConfigurationError> faults;
 
   /// Whether the file may be applied.
   bool IsValid() const { return this->faults.empty(); }
--- a/Zincstep/Config/YamlReader.cpp
+++ b/Zincstep/Config/YamlReader.cpp
@@ -6,7 +6,7 @@
 namespace zincstep {
 
 YamlReader::YamlReader(const YAML::Node& aNode, std::string aPath,
-                       std::vector<ConfigurationFault>& aFaults)
+                       std::vector<ConfigurationError>& aFaults)
     : node(aNode), path(std::move(aPath)), faults(&aFaults) {
   if (!this->node.IsMap()) {
     this->Fault("", "a mapping");
--- a/Zincstep/Config/YamlReader.h
+++ b/Zincstep/Config/YamlReader.h
@@ -15,7 +15,7 @@
 class YamlReader {
  public:
   YamlReader(const YAML::Node& aNode, std::string aPath,
-             std::vector<ConfigurationFault>& aFaults);
+             std::vector<ConfigurationError>& aFaults);
 
   /// Notes a fault for each key that is not among `aKeys`.
   void AllowOnly(std::initializer_list<std::string_view> aKeys);
@@ -50,7 +50,7 @@
 
   YAML::Node node;
   std::string path;
-  std::vector<ConfigurationFault>* faults;
+  std::vector<ConfigurationError>* faults;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Control/Control.h
+++ b/Zincstep/Control/Control.h
@@ -6,5 +6,5 @@
 #include "Zincstep/Control/ConfigurationStore.h"
 #include "Zincstep/Control/DomainStatus.h"
 #include "Zincstep/Control/LeaseGuard.h"
-#include "Zincstep/Control/MemberKeeper.h"
+#include "Zincstep/Control/MemberListPlanner.h"
 #include "Zincstep/Control/Reconciler.h"
--- a/Zincstep/Control/DomainStatus.cpp
+++ b/Zincstep/Control/DomainStatus.cpp
@@ -19,7 +19,7 @@
                        {"revision", daemon.revision},
                        {"heard", daemon.isHeard},
                        {"stopping", daemon.isStopping},
-                       {"heard_at", daemon.heardAt}});
+                       {"heard_at", daemon.lastSeenAt}});
   }
   return Json{{"failure_domain", aStatus.failureDomain},
               {"holder", aStatus.holder},
@@ -49,7 +49,7 @@
       daemon.revision = item.at("revision").get<std::uint64_t>();
       daemon.isHeard = item.at("heard").get<bool>();
       daemon.isStopping = item.at("stopping").get<bool>();
-      daemon.heardAt = item.at("heard_at").get<std::int64_t>();
+      daemon.lastSeenAt = item.at("heard_at").get<std::int64_t>();
       status.daemons.push_back(std::move(daemon));
     }
     return status;
--- a/Zincstep/Control/DomainStatus.h
+++ b/Zincstep/Control/DomainStatus.h
@@ -19,7 +19,7 @@
   bool isHeard = false;
   bool isStopping = false;
   /// Microseconds since 1970 at which it was last heard.
-  std::int64_t heardAt = 0;
+  std::int64_t lastSeenAt = 0;
 };
 
 /// What the control duty of a domain writes for operators to read.
--- a/Zincstep/Control/LeaseGuard.h
+++ b/Zincstep/Control/LeaseGuard.h
@@ -44,7 +44,7 @@
   void OnLost() { this->held = false; }
 
   /// Whether an order may be sent now. Ask before each one.
-  bool MayAct(Instant aNow) const {
+  bool MayIssueOrders(Instant aNow) const {
     return this->held && aNow < this->validUntil - this->settings.margin;
   }
   /// Whether the lease has not lapsed by this daemon's clock.
--- a/Zincstep/Control/MemberKeeper.cpp
+++ b/Zincstep/Control/MemberListPlanner.cpp
@@ -1,4 +1,4 @@
-#include "Zincstep/Control/MemberKeeper.h"
+#include "Zincstep/Control/MemberListPlanner.h"
 
 #include <algorithm>
 #include <set>
@@ -16,12 +16,12 @@
     return wanted;
   }
   for (const Member& member : aNewest->members) {
-    const bool isGone =
+    const bool isDeregistered =
         std::find(aGone.begin(), aGone.end(), member.name) != aGone.end();
     const bool isThere =
         std::find(wanted.begin(), wanted.end(), member) != wanted.end();
     // A silent member stays: only a VM that is gone votes no more.
-    const bool stays = member.failureDomain != aDomain || !isGone;
+    const bool stays = member.failureDomain != aDomain || !isDeregistered;
     if (stays && !isThere) {
       wanted.push_back(member);
     }
@@ -44,9 +44,10 @@
 
 }  // namespace
 
-bool MemberKeeper::MayAddList(const MemberLists& aLists, Instant aNow) const {
+bool MemberListPlanner::MayAddList(const MemberLists& aLists,
+                                   Instant aNow) const {
   const std::size_t inUse = aLists.lists.size();
-  if (inUse >= this->settings.mostLists) {
+  if (inUse >= this->settings.maxLists) {
     return false;
   }
   const Micros pause = inUse < this->settings.fewLists
@@ -55,7 +56,7 @@
   return !this->hasAdded || aNow - this->lastAdded >= pause;
 }
 
-void MemberKeeper::DropOld(MemberLists& aLists, Instant aNow) {
+void MemberListPlanner::DropOld(MemberLists& aLists, Instant aNow) {
   std::set<std::uint64_t> present;
   for (std::size_t i = 1; i < aLists.lists.size(); ++i) {
     this->replacedAt.try_emplace(aLists.lists[i].epoch, aNow);
@@ -73,7 +74,7 @@
   }
 }
 
-MemberLists MemberKeeper::Next(
+MemberLists MemberListPlanner::Next(
     const MemberLists& aLists, const std::string& aDomain,
     const std::vector<Member>& aLive, const std::vector<std::string>& aGone,
     const std::map<std::string, std::string>& aHandedTo, Instant aNow) {
--- a/Zincstep/Control/MemberKeeper.h
+++ b/Zincstep/Control/MemberListPlanner.h
@@ -9,15 +9,15 @@
 namespace zincstep {
 
 /// Settings of a member keeper.
-struct MemberKeeperSettings {
+struct MemberListPlannerSettings {
   /// Time for which a replaced list is still consulted.
-  Micros memory = kKeyMemory;
+  Micros memory = kKeyRetention;
   /// Least time between two new lists, once several are in use.
   Micros interval = 75s;
   Micros shortInterval = 3s;
   /// Lists in use up to which the short interval holds.
   std::size_t fewLists = 4;
-  std::size_t mostLists = 8;
+  std::size_t maxLists = 8;
 };
 
 /// Decides how the agreed member lists of a region change.
@@ -26,9 +26,10 @@
 /// stay in use until the memory of keys has passed, counted here from the
 /// moment that this daemon saw them replaced: a new keeper starts the
 /// count again, which errs to the longer side.
-class MemberKeeper {
+class MemberListPlanner {
  public:
-  explicit MemberKeeper(MemberKeeperSettings aSettings) : settings(aSettings) {}
+  explicit MemberListPlanner(MemberListPlannerSettings aSettings)
+      : settings(aSettings) {}
 
   /// The lists as they should be; equal to `aLists` where all is well.
   ///
@@ -44,7 +45,7 @@
   bool MayAddList(const MemberLists& aLists, Instant aNow) const;
   void DropOld(MemberLists& aLists, Instant aNow);
 
-  MemberKeeperSettings settings;
+  MemberListPlannerSettings settings;
   /// When each list was first seen to be replaced.
   std::map<std::uint64_t, Instant> replacedAt;
   Instant lastAdded;
--- a/Zincstep/Control/Reconciler.cpp
+++ b/Zincstep/Control/Reconciler.cpp
@@ -76,7 +76,7 @@
                          Instant aNow, ReconcileStep& aStep) const {
   aStep.paused.push_back(aOne.name);
   const bool drained = aOne.sequences <= 0 ||
-                       aNow - aChange.pausedAt >= this->settings.longestDrain;
+                       aNow - aChange.pausedAt >= this->settings.drainTimeout;
   if (!aOne.reachable) {
     aStep.stuck[aOne.name] = "it stopped answering while it was changed";
   } else if (aOne.actualVersion.empty()) {
@@ -87,8 +87,8 @@
     const int doublings = std::min(aChange.orders, kMaxDoublings);
     aChange.orders += 1;
     aChange.retryAt =
-        aNow + std::min(this->settings.firstRetry * (1 << doublings),
-                        this->settings.longestRetry);
+        aNow + std::min(this->settings.initialBackoff * (1 << doublings),
+                        this->settings.maxBackoff);
     aStep.orders.push_back(
         {aOne.name, aOne.address, aOne.declaredVersion, aOne.actualVersion});
     aStep.stuck[aOne.name] = "it was ordered to load " + aOne.declaredVersion;
@@ -129,7 +129,7 @@
       }
       // One interval passes between the pause and the first order, so that
       // every daemon has heard of the pause and reports what still runs.
-      this->changes[one.name] = {aNow, aNow + this->settings.firstRetry, 0};
+      this->changes[one.name] = {aNow, aNow + this->settings.initialBackoff, 0};
     }
     this->Advance(one, this->changes.at(one.name), aNow, step);
   }
--- a/Zincstep/Control/Reconciler.h
+++ b/Zincstep/Control/Reconciler.h
@@ -47,12 +47,12 @@
   /// Loads at a time, for the weight store's sake.
   int loadsAtATime = 2;
   /// Pause before an order that had no effect is sent again; doubles.
-  Micros firstRetry = 2s;
-  Micros longestRetry = 60s;
+  Micros initialBackoff = 2s;
+  Micros maxBackoff = 60s;
   /// A paused upstream whose sequences do not end is changed after this.
-  Micros longestDrain = 330s;
+  Micros drainTimeout = 330s;
   /// Time for which a load may take before it counts as stuck.
-  Micros loadPatience = 120s;
+  Micros loadTimeout = 120s;
 };
 
 /// Brings upstreams from the version they hold to the declared one.
--- a/Zincstep/Core/Channel.h
+++ b/Zincstep/Core/Channel.h
@@ -13,7 +13,7 @@
 namespace zincstep {
 
 /// Wakes the one thread that waits on it; shared by its incoming rings.
-class Doorbell {
+class WakeEvent {
  public:
   /// Wakes the waiting thread, or lets its next wait return at once.
   void Ring() {
@@ -43,7 +43,7 @@
 template <class T>
 class Channel {
  public:
-  Channel(std::size_t aCapacity, Doorbell& aDoorbell)
+  Channel(std::size_t aCapacity, WakeEvent& aDoorbell)
       : ring(aCapacity), doorbell(aDoorbell) {}
 
   Channel(const Channel&) = delete;
@@ -76,7 +76,7 @@
 
  private:
   boost::lockfree::queue<T*> ring;
-  Doorbell& doorbell;
+  WakeEvent& doorbell;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Core/Error.h
+++ b/Zincstep/Core/Error.h
@@ -38,7 +38,7 @@
   UpstreamUnreachable,
   UpstreamEnded,
   UpstreamFailed,
-  AnswerIncomplete,
+  ResponseIncomplete,
   ConfigInvalid,
   ConfigConflict,
   PlatformUnavailable,
@@ -49,7 +49,7 @@
 };
 
 /// One row of the table from error kind to the answer a caller gets.
-struct ErrorAnswer {
+struct ErrorInfo {
   ErrorKind kind;
   std::string_view name;
   int status;
@@ -59,7 +59,7 @@
 };
 
 /// The row of the table for `aKind`.
-const ErrorAnswer& AnswerFor(ErrorKind aKind);
+const ErrorInfo& ErrorInfoFor(ErrorKind aKind);
 
 /// `not_run`, `may_have_run` or `ran`: the word that callers read.
 std::string_view NameOf(Outcome aOutcome);
@@ -73,7 +73,7 @@
 
   /// When the caller should come back: own value, else the table's.
   Micros RetryAfter() const {
-    return this->retryAfter.value_or(AnswerFor(this->kind).retryAfter);
+    return this->retryAfter.value_or(ErrorInfoFor(this->kind).retryAfter);
   }
 };
 
--- a/Zincstep/Core/TaskThread.h
+++ b/Zincstep/Core/TaskThread.h
@@ -36,11 +36,11 @@
 
  private:
   /// Longest sleep between looks at whether to stop.
-  static constexpr Micros kLongestSleep = 1s;
+  static constexpr Micros kMaxSleep = 1s;
 
   void Loop() {
     while (!this->stopping) {
-      this->doorbell.Wait(kLongestSleep);
+      this->doorbell.Wait(kMaxSleep);
       while (auto task = this->stopping ? nullptr : this->tasks.Pop()) {
         this->run(std::move(*task));
       }
@@ -48,7 +48,7 @@
   }
 
   Run run;
-  Doorbell doorbell;
+  WakeEvent doorbell;
   Channel<Task> tasks;
   std::atomic<bool> stopping{false};
   std::thread thread;
--- a/Zincstep/Edge/AdminHandler.h
+++ b/Zincstep/Edge/AdminHandler.h
@@ -16,7 +16,7 @@
 
   void OnRequest(const std::shared_ptr<CallerConnection>& aConnection,
                  CallerMessage aMessage) override;
-  void OnCallerGone(CallerConnection&) override {}
+  void OnCallerDisconnected(CallerConnection&) override {}
 
  private:
   std::function<bool()> isReady;
--- a/Zincstep/Edge/BlockList.cpp
+++ b/Zincstep/Edge/BlockList.cpp
@@ -47,7 +47,7 @@
 }  // namespace
 
 BlockList::BlockList(std::string aPrefix, AsyncStore& aStore,
-                     CrashLedger& aLedger, const Clock& aClock)
+                     CrashTracker& aLedger, const Clock& aClock)
     : prefix(std::move(aPrefix)),
       store(aStore),
       ledger(aLedger),
--- a/Zincstep/Edge/BlockList.h
+++ b/Zincstep/Edge/BlockList.h
@@ -19,7 +19,7 @@
   /// Its key, without the prefix of the daemons' own entries.
   static constexpr const char* kKey = "blocked-requests";
 
-  BlockList(std::string aPrefix, AsyncStore& aStore, CrashLedger& aLedger,
+  BlockList(std::string aPrefix, AsyncStore& aStore, CrashTracker& aLedger,
             const Clock& aClock);
 
   /// Takes the daemons' own entries as they are in the store now.
@@ -36,7 +36,7 @@
 
   std::string prefix;
   AsyncStore& store;
-  CrashLedger& ledger;
+  CrashTracker& ledger;
   const Clock& clock;
   /// The list as the store has it, and its revision; none: it was never
   /// written.
--- a/Zincstep/Edge/HeldMemory.cpp
+++ b/Zincstep/Edge/BufferedMemory.cpp
@@ -1,4 +1,4 @@
-#include "Zincstep/Edge/HeldMemory.h"
+#include "Zincstep/Edge/BufferedMemory.h"
 
 #include <numeric>
 
@@ -13,8 +13,8 @@
 
 }  // namespace
 
-void HeldMemory::Report(const Bytes& aHeld) {
-  for (const auto& [kind, name] : kHeldKindNames) {
+void BufferedMemory::Report(const Bytes& aHeld) {
+  for (const auto& [kind, name] : kBufferKindNames) {
     this->metrics.Set(
         "zincstep_held_bytes",
         static_cast<double>(aHeld[static_cast<std::size_t>(kind)]),
@@ -22,27 +22,27 @@
   }
 }
 
-void HeldMemory::Tick(const Bytes& aHeld) {
+void BufferedMemory::Tick(const Bytes& aHeld) {
   const std::size_t sum =
       std::accumulate(aHeld.begin(), aHeld.end(), std::size_t{0});
   const Instant now = this->clock.Now();
   const bool hasDoubled = sum >= 2 * this->lastTold;
-  if (sum < kFewestTold || (now < this->nextLine && !hasDoubled)) {
+  if (sum < kFewestTold || (now < this->nextLogAt && !hasDoubled)) {
     return;
   }
-  this->nextLine = now + kLinePause;
+  this->nextLogAt = now + kLinePause;
   this->lastTold = sum;
   this->Log(aHeld, sum);
 }
 
-void HeldMemory::Log(const Bytes& aHeld, std::size_t aSum) {
-  const auto kind = [&aHeld](HeldKind aKind) {
+void BufferedMemory::Log(const Bytes& aHeld, std::size_t aSum) {
+  const auto kind = [&aHeld](BufferKind aKind) {
     return aHeld[static_cast<std::size_t>(aKind)];
   };
-  LogInfo("held_bytes", {{"to_peers", kind(HeldKind::ToPeers)},
-                         {"from_peers", kind(HeldKind::FromPeers)},
-                         {"packed_lists", kind(HeldKind::PackedLists)},
-                         {"to_callers", kind(HeldKind::ToCallers)},
+  LogInfo("held_bytes", {{"to_peers", kind(BufferKind::ToPeers)},
+                         {"from_peers", kind(BufferKind::FromPeers)},
+                         {"packed_lists", kind(BufferKind::PackedLists)},
+                         {"to_callers", kind(BufferKind::ToCallers)},
                          {"sum", aSum}});
 }
 
--- a/Zincstep/Edge/HeldMemory.h
+++ b/Zincstep/Edge/BufferedMemory.h
@@ -8,7 +8,7 @@
 namespace zincstep {
 
 /// What a daemon holds memory for.
-enum class HeldKind {
+enum class BufferKind {
   /// Messages that wait for a peer to take them; what several are sent counts
   /// once.
   ToPeers,
@@ -20,22 +20,22 @@
   ToCallers,
 };
 
-inline constexpr NameTable<HeldKind, 4> kHeldKindNames{{
-    {HeldKind::ToPeers, "to_peers"},
-    {HeldKind::FromPeers, "from_peers"},
-    {HeldKind::PackedLists, "packed_lists"},
-    {HeldKind::ToCallers, "to_callers"},
+inline constexpr NameTable<BufferKind, 4> kBufferKindNames{{
+    {BufferKind::ToPeers, "to_peers"},
+    {BufferKind::FromPeers, "from_peers"},
+    {BufferKind::PackedLists, "packed_lists"},
+    {BufferKind::ToCallers, "to_callers"},
 }};
 
 /// Tells how many bytes are held for what.
 ///
 /// A process that outgrows its VM is ended with all its requests: what grows
 /// has to be seen before that.
-class HeldMemory {
+class BufferedMemory {
  public:
-  using Bytes = std::array<std::size_t, kHeldKindNames.size()>;
+  using Bytes = std::array<std::size_t, kBufferKindNames.size()>;
 
-  HeldMemory(Metrics& aMetrics, const Clock& aClock)
+  BufferedMemory(Metrics& aMetrics, const Clock& aClock)
       : metrics(aMetrics), clock(aClock) {}
 
   /// Logs where it is time, or the sum has doubled since the last line; to be
@@ -50,7 +50,7 @@
   Metrics& metrics;
   const Clock& clock;
   std::size_t lastTold = 0;
-  Instant nextLine{};
+  Instant nextLogAt{};
 };
 
 }  // namespace zincstep
--- a/Zincstep/Edge/EntryKeeper.cpp
+++ b/Zincstep/Edge/DaemonRegistrar.cpp
@@ -1,4 +1,4 @@
-#include "Zincstep/Edge/EntryKeeper.h"
+#include "Zincstep/Edge/DaemonRegistrar.h"
 
 #include <algorithm>
 
@@ -43,8 +43,8 @@
 
 }  // namespace
 
-EntryKeeper::EntryKeeper(const EdgeSettings& aSettings, AsyncStore& aStore,
-                         const Clock& aClock)
+DaemonRegistrar::DaemonRegistrar(const EdgeSettings& aSettings,
+                                 AsyncStore& aStore, const Clock& aClock)
     : settings(aSettings),
       store(aStore),
       clock(aClock),
@@ -63,11 +63,11 @@
   this->takeOverPause = spread(kTakeOverPause);
 }
 
-void EntryKeeper::Add(const PeerName& aDaemon, Instant aNow) {
+void DaemonRegistrar::Add(const PeerName& aDaemon, Instant aNow) {
   const std::string key = DaemonEntry::KeyOf(aDaemon);
   std::string text = DaemonEntry::TextOf(aDaemon);
   Kept& entry = this->kept[key];
-  entry.heardAt = aNow;
+  entry.lastSeenAt = aNow;
   if (entry.text == text) {
     return;
   }
@@ -77,8 +77,8 @@
   entry.seenAt = {};
 }
 
-bool EntryKeeper::IsThere(const std::string& aKey,
-                          const std::string& aText) const {
+bool DaemonRegistrar::IsThere(const std::string& aKey,
+                              const std::string& aText) const {
   if (this->listed == nullptr) {
     return false;
   }
@@ -86,17 +86,17 @@
   return found != this->listed->end() && found->second.value == aText;
 }
 
-void EntryKeeper::OnAsker(const PeerName& aAsker) {
-  if (this->leads && aAsker.failureDomain == this->settings.failureDomain) {
-    this->Add(aAsker, this->clock.Now());
+void DaemonRegistrar::OnQueryFrom(const PeerName& aRequester) {
+  if (this->leads && aRequester.failureDomain == this->settings.failureDomain) {
+    this->Add(aRequester, this->clock.Now());
   }
 }
 
-bool EntryKeeper::IsOverdue(Instant aNow) const {
+bool DaemonRegistrar::IsOverdue(Instant aNow) const {
   return !this->isListed && aNow - this->missingSince >= this->ownPatience;
 }
 
-void EntryKeeper::LeaveToOthers() {
+void DaemonRegistrar::LeaveToOthers() {
   std::erase_if(this->kept, [this](const auto& aEntry) {
     const Kept& entry = aEntry.second;
     // Whoever leads has written it anew.
@@ -109,7 +109,7 @@
   }
 }
 
-void EntryKeeper::Keep(bool aLeads) {
+void DaemonRegistrar::Keep(bool aLeads) {
   const Instant now = this->clock.Now();
   if (this->hasEnded || this->isWriting) {
     return;
@@ -126,7 +126,7 @@
   if (now < this->nextTry || this->isWriting) {
     return;
   }
-  const std::vector<std::string> due = this->TakeDue(now);
+  const std::vector<std::string> due = this->CollectDue(now);
   if (!due.empty()) {
     this->lease == 0 ? this->Grant() : this->Write(due);
   } else if (this->lease != 0 && now >= this->nextRenewal) {
@@ -134,14 +134,14 @@
   }
 }
 
-bool EntryKeeper::IsDue(const std::string& aKey, const Kept& aEntry,
-                        Instant aNow) const {
+bool DaemonRegistrar::IsDue(const std::string& aKey, const Kept& aEntry,
+                            Instant aNow) const {
   const Micros pause =
       this->IsThere(aKey, aEntry.text) ? this->takeOverPause : kGatherTime;
   return aEntry.writtenAt.IsNone() && aNow >= aEntry.since + pause;
 }
 
-std::vector<std::string> EntryKeeper::TakeDue(Instant aNow) const {
+std::vector<std::string> DaemonRegistrar::CollectDue(Instant aNow) const {
   std::vector<std::string> due;
   if (this->leads && this->listed == nullptr) {
     return due;  // It is not known yet what stands in the store.
@@ -154,7 +154,7 @@
   return due;
 }
 
-void EntryKeeper::Grant() {
+void DaemonRegistrar::Grant() {
   this->isWriting = true;
   this->store.Grant(kEntryLife, [this](Result<std::uint64_t> aLease) {
     this->isWriting = false;
@@ -164,14 +164,14 @@
     }
     this->lease = *aLease;
     this->nextRenewal = this->clock.Now() + this->keepPause;
-    const std::vector<std::string> due = this->TakeDue(this->clock.Now());
+    const std::vector<std::string> due = this->CollectDue(this->clock.Now());
     if (!due.empty()) {
       this->Write(due);
     }
   });
 }
 
-void EntryKeeper::Renew() {
+void DaemonRegistrar::Renew() {
   this->isWriting = true;
   this->nextRenewal = this->clock.Now() + this->keepPause;
   this->store.Renew(this->lease, [this](Result<bool> aRenewed) {
@@ -182,7 +182,7 @@
   });
 }
 
-void EntryKeeper::Write(const std::vector<std::string>& aKeys) {
+void DaemonRegistrar::Write(const std::vector<std::string>& aKeys) {
   this->isWriting = true;
   StoreWrites writes;
   writes.lease = this->lease;
@@ -212,12 +212,12 @@
   });
 }
 
-void EntryKeeper::RetryLater() {
+void DaemonRegistrar::RetryLater() {
   this->nextTry = this->clock.Now() + this->retryPause;
   this->retryPause = std::min(2 * this->retryPause, kLongestRetry);
 }
 
-void EntryKeeper::BeginAnew(Instant aSince) {
+void DaemonRegistrar::BeginAnew(Instant aSince) {
   this->lease = 0;
   for (auto& [key, entry] : this->kept) {
     entry.writtenAt = {};
@@ -226,10 +226,10 @@
   }
 }
 
-void EntryKeeper::RemoveSilent(Instant aNow) {
+void DaemonRegistrar::RemoveSilent(Instant aNow) {
   StoreWrites writes;
   for (const auto& [key, entry] : this->kept) {
-    const bool isSilent = aNow - entry.heardAt >= kSilentLife;
+    const bool isSilent = aNow - entry.lastSeenAt >= kSilentLife;
     if (isSilent && writes.removed.size() < kMostAtOnce) {
       writes.removed.push_back(this->FullKey(key));
     }
@@ -238,7 +238,7 @@
     return;
   }
   std::erase_if(this->kept, [aNow](const auto& aEntry) {
-    return aNow - aEntry.second.heardAt >= kSilentLife;
+    return aNow - aEntry.second.lastSeenAt >= kSilentLife;
   });
   this->isWriting = true;
   const std::size_t count = writes.removed.size();
@@ -250,7 +250,7 @@
       });
 }
 
-void EntryKeeper::OnEntries(const StoreItems& aItems) {
+void DaemonRegistrar::OnEntries(const StoreItems& aItems) {
   const Instant now = this->clock.Now();
   this->listed = &aItems;
   const bool wasListed = this->isListed;
@@ -277,7 +277,7 @@
   }
 }
 
-void EntryKeeper::OnRestored(Random& aRandom) {
+void DaemonRegistrar::OnRestored(Random& aRandom) {
   // What is under way is answered as void, and tried again later.
   const Micros spread = FromSeconds(ToSeconds(kRewriteSpread) * aRandom.Unit());
   this->retryPause = kFirstRetry;
@@ -285,7 +285,7 @@
   this->BeginAnew(this->clock.Now() + spread);
 }
 
-void EntryKeeper::End() {
+void DaemonRegistrar::End() {
   if (this->hasEnded) {
     return;
   }
--- a/Zincstep/Edge/EntryKeeper.h
+++ b/Zincstep/Edge/DaemonRegistrar.h
@@ -16,16 +16,16 @@
 /// all daemons that ask it, up to 32 with one call and all under one lease: the
 /// start of a thousand daemons is some tens of calls. The others leave theirs
 /// to it, and write it by themselves only where nobody has for a while.
-class EntryKeeper {
+class DaemonRegistrar {
  public:
-  EntryKeeper(const EdgeSettings& aSettings, AsyncStore& aStore,
-              const Clock& aClock);
+  DaemonRegistrar(const EdgeSettings& aSettings, AsyncStore& aStore,
+                  const Clock& aClock);
 
   /// Writes what is due, or renews the lease; to be called several times a
   /// second. `aLeads`: this daemon asks the store for its failure domain.
   void Keep(bool aLeads);
   /// A daemon of this failure domain lives, and asks this one.
-  void OnAsker(const PeerName& aAsker);
+  void OnQueryFrom(const PeerName& aRequester);
   /// The daemons' entries have changed in the store; the items stay where they
   /// are.
   void OnEntries(const StoreItems& aItems);
@@ -50,7 +50,7 @@
     /// Since when it is to be written.
     Instant since{};
     /// When its daemon last asked.
-    Instant heardAt{};
+    Instant lastSeenAt{};
   };
 
   /// The keys with the daemons' own prefix before them.
@@ -66,7 +66,7 @@
   void LeaveToOthers();
   bool IsDue(const std::string& aKey, const Kept& aEntry, Instant aNow) const;
   /// Keys that one call is to write now.
-  std::vector<std::string> TakeDue(Instant aNow) const;
+  std::vector<std::string> CollectDue(Instant aNow) const;
   void RemoveSilent(Instant aNow);
   void Grant();
   void Renew();
--- a/Zincstep/Edge/EdgeDaemon.cpp
+++ b/Zincstep/Edge/EdgeDaemon.cpp
@@ -4,11 +4,11 @@
 
 #include "Zincstep/Edge/AdminHandler.h"
 #include "Zincstep/Edge/BlockList.h"
+#include "Zincstep/Edge/BufferedMemory.h"
 #include "Zincstep/Edge/DaemonEntry.h"
-#include "Zincstep/Edge/HeldMemory.h"
-#include "Zincstep/Edge/PeerExchange.h"
+#include "Zincstep/Edge/PeerProtocol.h"
 #include "Zincstep/Edge/PlanThread.h"
-#include "Zincstep/Relay/LostDomains.h"
+#include "Zincstep/Relay/DomainRecoveryMonitor.h"
 
 namespace zincstep {
 
@@ -41,7 +41,7 @@
 RelaySettings MakeRelaySettings(const EdgeSettings& aSettings) {
   RelaySettings settings;
   settings.failureDomain = aSettings.failureDomain;
-  settings.longestProofAge = aSettings.keyRevocation - kRevocationMargin;
+  settings.maxValidationAge = aSettings.keyRevocation - kRevocationMargin;
   settings.failsClosed = aSettings.failsClosed;
   settings.retries.perRequest = aSettings.retryRatio * kRetryRatioUsed;
   settings.retries.most = RetryShare(aSettings.retrySlack, {});
@@ -57,7 +57,7 @@
 class EdgeDaemon final : private ClusterListener, private CrashListener {
  public:
   EdgeDaemon(const EdgeSettings& aSettings, asio::io_context& aLoop,
-             EdgeAdapters aAdapters, StoreEras& aEras)
+             EdgeAdapters aAdapters, StoreEraTracker& aEras)
       : settings(aSettings),
         loop(aLoop),
         eras(aEras),
@@ -76,31 +76,32 @@
         stop(MakeStopSettings(aSettings)),
         limits(MakeLimitSettings(aSettings), this->clock, this->metrics,
                [this](const std::vector<LimitNotice>& aNotices) {
-                 this->peers.TellAll(LimitGossip{aNotices});
+                 this->peers.Broadcast(LimitGossip{aNotices});
                }),
         control(*this->adapters.control, this->view.Directory(), this->limits,
                 this->clock),
-        probe(MemberProbeSettings{}, this->control, this->clock,
-              [this](Evidence aEvidence) { this->OnSuspicion(aEvidence); }),
-        crashWatch(this->crashes, this->control, this->clock, *this),
+        probe(
+            UpstreamProberSettings{}, this->control, this->clock,
+            [this](Provenance aProvenance) { this->OnSuspicion(aProvenance); }),
+        crashDetector(this->crashes, this->control, this->clock, *this),
         blockList(aSettings.storePrefix, this->store, this->crashes,
                   this->clock),
         lostDomains(this->probe, this->clock, this->random),
         kept(ConnectionPoolSettings{}, this->clock),
-        relay(RelayContext{aLoop, this->relaySettings, *this->adapters.dialect,
-                           this->view, this->control, this->clock, this->random,
-                           this->metrics, this->probe, this->crashes,
-                           this->crashWatch, this->kept, this->limits,
-                           this->chains, this->services, this->demand,
-                           this->budgets, this->stop,
-                           [this] { this->OnSuspicion(Evidence::Found); }}),
+        relay(RelayContext{
+            aLoop, this->relaySettings, *this->adapters.dialect, this->view,
+            this->control, this->clock, this->random, this->metrics,
+            this->probe, this->crashes, this->crashDetector, this->kept,
+            this->limits, this->chains, this->services, this->demand,
+            this->budgets, this->stop,
+            [this] { this->OnSuspicion(Provenance::Observed); }}),
         admin([this] { return this->IsReady(); },
               [this] { return this->MetricsText(); }),
         callers(aLoop, this->relay, this->clock),
         admins(aLoop, this->admin, this->clock),
         plans(aLoop, PlacementSettings{}),
-        keeper(MakeKeeperSettings(aSettings), this->store, this->control,
-               this->view, this->plans, this->clock),
+        controller(MakeKeeperSettings(aSettings), this->store, this->control,
+                   this->view, this->plans, this->clock),
         peers(
             aLoop, aSettings, this->store, this->view, this->clock,
             this->random, this->metrics, aEras,
@@ -110,9 +111,9 @@
             [this](const CrashGossip& aGossip, const std::string& aFrom) {
               this->OnTold(aGossip, aFrom);
             },
-            [this](const LimitGossip& aGossip, const std::string& aTeller,
+            [this](const LimitGossip& aGossip, const std::string& aReporter,
                    const std::string& aFrom) {
-              this->OnToldLimits(aGossip, aTeller, aFrom);
+              this->OnPeerLimits(aGossip, aReporter, aFrom);
             },
             [this] { return this->demand.Tokens(this->clock.Now()); }),
         held(this->metrics, this->clock),
@@ -125,9 +126,9 @@
   void Stop();
 
  private:
-  static PlacementKeeperSettings MakeKeeperSettings(
+  static PlacementControllerSettings MakeKeeperSettings(
       const EdgeSettings& aSettings) {
-    PlacementKeeperSettings settings;
+    PlacementControllerSettings settings;
     settings.name = aSettings.name;
     settings.key = aSettings.storePrefix + kDutyKey;
     return settings;
@@ -146,7 +147,7 @@
     settings.keys = aKeys;
     settings.keys.near =
         aKeys.own + DaemonEntry::PrefixOf(aSettings.failureDomain);
-    settings.longestReliance = LongestReliance(aSettings);
+    settings.maxSyncStaleness = MaxSyncStaleness(aSettings);
     return settings;
   }
 
@@ -162,25 +163,27 @@
   void OnCrashes(const std::vector<UpstreamCrash>& aCrashes) override;
   void OnCleared(RequestFingerprint aRequest) override;
   void OnBlocked(RequestFingerprint aRequest) override;
-  void OnCrashSuspicion() override { this->OnSuspicion(Evidence::Found); }
+  void OnUpstreamSuspected() override {
+    this->OnSuspicion(Provenance::Observed);
+  }
   /// A peer that listens at `aFrom` tells of requests that end upstreams.
   void OnTold(const CrashGossip& aGossip, const std::string& aFrom);
   /// The same of limits that upstreams name.
-  void OnToldLimits(const LimitGossip& aGossip, const std::string& aTeller,
+  void OnPeerLimits(const LimitGossip& aGossip, const std::string& aReporter,
                     const std::string& aFrom);
   /// The store has come back from a copy: what is known stays in use until it
   /// is told anew, and what this daemon keeps there is written again.
   void OnStoreRestored(std::uint64_t aBefore, std::uint64_t aEra);
   /// What must not run is written to the store, or told to who writes it.
   void KeepBlocked();
-  void OnSuspicion(Evidence aEvidence);
+  void OnSuspicion(Provenance aProvenance);
   void WaitForSignal();
   /// Finds out that this VM was suspended, by the time since the last look.
   void NoteGap();
   void OnFastTick();
   void OnDutyTick();
   /// Bytes that this daemon holds for others.
-  HeldMemory::Bytes HeldBytes() const;
+  BufferedMemory::Bytes HeldBytes() const;
   bool IsReady() const;
   std::string MetricsText();
 
@@ -188,7 +191,7 @@
 
   const EdgeSettings& settings;
   asio::io_context& loop;
-  StoreEras& eras;
+  StoreEraTracker& eras;
   EdgeAdapters adapters;
   SystemClock clock;
   RelaySettings relaySettings;
@@ -204,9 +207,9 @@
   StopPolicy stop;
   CallLimits limits;
   CountedControl control;
-  MemberProbe probe;
-  CrashLedger crashes{CrashLedgerSettings{}};
-  CrashWatch crashWatch;
+  UpstreamProber probe;
+  CrashTracker crashes{CrashTrackerSettings{}};
+  CrashDetector crashDetector;
   BlockList blockList;
   RetrySharer retrySharer;
   /// `PeerMembers::Changes` when other parts last heard of the members.
@@ -214,16 +217,16 @@
   Instant lastLook{};
   /// When what is not in the store yet is told again.
   Instant nextUnlisted{};
-  LostDomains lostDomains;
+  DomainRecoveryMonitor lostDomains;
   ConnectionPool kept;
   Relay relay;
   AdminHandler admin;
   CallerListener callers;
   CallerListener admins;
   PlanThread plans;
-  PlacementKeeper keeper;
-  PeerExchange peers;
-  HeldMemory held;
+  PlacementController controller;
+  PeerProtocol peers;
+  BufferedMemory held;
   asio::steady_timer fastTimer;
   asio::steady_timer dutyTimer;
   asio::signal_set signals;
@@ -241,22 +244,23 @@
     return started;
   }
   // Whoever places layers hears of lost upstreams from the store itself.
-  this->follower.SetMayRely([this] {
-    return this->peers.Members().MayRely() && !this->keeper.HasDuty();
+  this->follower.SetHasFreshSyncSource([this] {
+    return this->peers.Members().HasFreshSyncSource() &&
+           !this->controller.IsLeader();
   });
-  this->follower.SetMayAsk([this] {
-    return this->peers.Members().MayAskStore() || this->keeper.HasDuty();
+  this->follower.SetMayQueryStore([this] {
+    return this->peers.Members().MayQueryStore() || this->controller.IsLeader();
   });
-  this->follower.SetHasTeller(
-      [this] { return this->peers.Members().HasTeller(); });
+  this->follower.SetHasSyncSource(
+      [this] { return this->peers.Members().HasSyncSource(); });
   this->follower.SetRank([this] { return this->peers.Members().Rank(); });
-  this->follower.SetOnEarlyDaemons(
+  this->follower.SetOnBootstrapDaemons(
       [this](const std::vector<StoreItem>& aDaemons) {
-        this->peers.OnEarlyEntries(aDaemons);
-        return this->peers.Members().KnowsPeers();
+        this->peers.OnBootstrapEntries(aDaemons);
+        return this->peers.Members().HasDiscoveredPeers();
       });
-  this->keeper.SetMayTake([this] { return this->follower.IsDirect(); });
-  this->keeper.SetDemand([this] { return this->peers.Demand(); });
+  this->controller.SetMayCampaign([this] { return this->follower.IsDirect(); });
+  this->controller.SetDemand([this] { return this->peers.Demand(); });
   this->eras.SetOnRestored([this](std::uint64_t aBefore, std::uint64_t aEra) {
     this->OnStoreRestored(aBefore, aEra);
   });
@@ -276,7 +280,7 @@
 
 void EdgeDaemon::OnDaemonEntries() {
   const std::string holder = this->view.Daemons().ValueOf(kDutyKey);
-  this->keeper.OnHolder(holder);
+  this->controller.OnLeaderChanged(holder);
   this->peers.OnDaemonEntries(holder);
   this->blockList.OnEntries(this->view.Daemons().Items());
   if (this->peers.Members().Changes() == this->knownMembers) {
@@ -295,18 +299,18 @@
 }
 
 void EdgeDaemon::OnStoreRestored(std::uint64_t aBefore, std::uint64_t aEra) {
-  const auto proofAge = this->view.ProofAge();
+  const auto validationAge = this->view.ValidationAge();
   LogWarning("store_restored",
              {{"era_before", aBefore},
               {"era", aEra},
               {"config_version", this->view.ConfigVersion()},
-              {"proof_age_ms", proofAge ? *proofAge / 1ms : -1},
+              {"proof_age_ms", validationAge ? *validationAge / 1ms : -1},
               {"upstreams", this->view.Directory().All().size()},
               {"daemons", this->peers.Daemons()},
-              {"had_duty", this->keeper.HasDuty()}});
+              {"had_duty", this->controller.IsLeader()}});
   this->metrics.Count("zincstep_store_restores_total");
   this->view.OnRestored(aEra);
-  this->keeper.OnRestored();
+  this->controller.OnRestored();
   this->blockList.OnRestored();
   this->peers.OnRestored();
   this->follower.OnRestored();
@@ -314,11 +318,11 @@
 
 void EdgeDaemon::OnCrashes(const std::vector<UpstreamCrash>& aCrashes) {
   this->metrics.Count("zincstep_upstream_crashes_total");
-  this->peers.TellAll(CrashGossip{aCrashes, {}});
+  this->peers.Broadcast(CrashGossip{aCrashes, {}});
 }
 
 void EdgeDaemon::OnCleared(RequestFingerprint aRequest) {
-  this->peers.TellAll(CrashGossip{{}, {aRequest}});
+  this->peers.Broadcast(CrashGossip{{}, {aRequest}});
 }
 
 void EdgeDaemon::OnBlocked(RequestFingerprint aRequest) {
@@ -328,8 +332,9 @@
 void EdgeDaemon::OnTold(const CrashGossip& aGossip, const std::string& aFrom) {
   CrashGossip innocent;
   for (const UpstreamCrash& crash : aGossip.crashes) {
-    const CrashVerdict verdict = this->crashWatch.Take(crash, Evidence::Told);
-    if (verdict == CrashVerdict::Innocent) {
+    const CrashVerdict verdict =
+        this->crashDetector.Take(crash, Provenance::Told);
+    if (verdict == CrashVerdict::Ignored) {
       innocent.cleared.push_back(crash.request);
     }
   }
@@ -338,14 +343,14 @@
     this->peers.Send(aFrom, std::move(innocent));
   }
   for (const RequestFingerprint request : aGossip.cleared) {
-    if (this->crashWatch.TakeCleared(request)) {
-      this->peers.TellAll(CrashGossip{{}, {request}});
+    if (this->crashDetector.OnClearedByPeer(request)) {
+      this->peers.Broadcast(CrashGossip{{}, {request}});
     }
   }
 }
 
-void EdgeDaemon::OnToldLimits(const LimitGossip& aGossip,
-                              const std::string& aTeller,
+void EdgeDaemon::OnPeerLimits(const LimitGossip& aGossip,
+                              const std::string& aReporter,
                               const std::string& aFrom) {
   LimitGossip newer;
   for (const LimitNotice& notice : aGossip.limits) {
@@ -354,7 +359,7 @@
     if (!upstream) {
       continue;
     }
-    if (const auto known = this->limits.OnTold(upstream, notice, aTeller)) {
+    if (const auto known = this->limits.OnTold(upstream, notice, aReporter)) {
       newer.limits.push_back(*known);
     }
   }
@@ -366,7 +371,7 @@
 void EdgeDaemon::KeepBlocked() {
   const Instant now = this->clock.Now();
   this->crashes.Tick(now);
-  if (this->keeper.HasDuty()) {
+  if (this->controller.IsLeader()) {
     this->blockList.Write();
     return;
   }
@@ -375,7 +380,7 @@
     this->nextUnlisted = now + kUnlistedPause;
   } else if (now >= this->nextUnlisted) {
     this->nextUnlisted = now + kUnlistedPause;
-    this->peers.TellDutyHolder(CrashGossip{std::move(unlisted), {}});
+    this->peers.SendToPlacementLeader(CrashGossip{std::move(unlisted), {}});
   }
 }
 
@@ -385,14 +390,14 @@
   this->peers.OnConfiguration();
 }
 
-void EdgeDaemon::OnSuspicion(Evidence aEvidence) {
+void EdgeDaemon::OnSuspicion(Provenance aProvenance) {
   // Whoever has the duty is to know at once: each tenth of a second counts.
   // What another found it has told itself; a hundred daemons that tell each
   // other so are ten thousand messages.
-  if (aEvidence == Evidence::Found) {
+  if (aProvenance == Provenance::Observed) {
     this->peers.GossipSoon();
   }
-  this->keeper.Tick();
+  this->controller.Tick();
   this->relay.TickSoon();
 }
 
@@ -406,9 +411,9 @@
               {{"reason", "settings come with the start of the process"}});
     } else if (!this->stop.IsStopping()) {
       this->stop.Begin(this->clock.Now());
-      this->keeper.Stop();
+      this->controller.Stop();
       this->peers.BeginStop();
-      this->callers.StopKeeping();
+      this->callers.DisableKeepAlive();
       LogInfo("stopping", {{"active", this->relay.Active()}});
     }
     this->WaitForSignal();
@@ -419,7 +424,7 @@
   const Instant now = this->clock.Now();
   const Micros gap = now - this->lastLook;
   if (this->lastLook != Instant{} && gap >= kToldGap) {
-    const auto age = this->view.ProofAge();
+    const auto age = this->view.ValidationAge();
     LogWarning("time_passed_unseen", {{"gap_ms", gap / 1ms},
                                       {"active", this->relay.Active()},
                                       {"proof_age_ms", age ? *age / 1ms : -1}});
@@ -445,8 +450,8 @@
 }
 
 void EdgeDaemon::OnDutyTick() {
-  if (this->stop.ClosesResting(this->clock.Now())) {
-    this->callers.CloseResting();
+  if (this->stop.ClosesIdle(this->clock.Now())) {
+    this->callers.CloseIdle();
   }
   this->callers.Tick();
   this->admins.Tick();
@@ -454,14 +459,14 @@
   this->store.Tick();
   this->limits.Tick();
   this->lostDomains.Tick(this->view.Directory());
-  this->keeper.Tick();
+  this->controller.Tick();
   this->peers.Tick();
   this->KeepBlocked();
   this->held.Tick(this->HeldBytes());
   this->relaySettings.retries.most =
       RetryShare(this->settings.retrySlack, this->retrySharer);
   for (auto& [service, budget] : this->budgets) {
-    budget.SetMost(this->relaySettings.retries.most);
+    budget.SetMaxSaved(this->relaySettings.retries.most);
   }
   this->dutyTimer.expires_after(kDutyTick);
   this->dutyTimer.async_wait([this](const asio::error_code& aError) {
@@ -471,26 +476,26 @@
   });
 }
 
-HeldMemory::Bytes EdgeDaemon::HeldBytes() const {
-  HeldMemory::Bytes bytes{};
-  const auto of = [&bytes](HeldKind aKind) -> std::size_t& {
+BufferedMemory::Bytes EdgeDaemon::HeldBytes() const {
+  BufferedMemory::Bytes bytes{};
+  const auto of = [&bytes](BufferKind aKind) -> std::size_t& {
     return bytes[static_cast<std::size_t>(aKind)];
   };
-  of(HeldKind::ToPeers) = this->peers.BytesToPeers();
-  of(HeldKind::FromPeers) = this->peers.BytesFromPeers();
-  of(HeldKind::PackedLists) = this->peers.BytesPacked();
-  of(HeldKind::ToCallers) = this->callers.PendingBytes();
+  of(BufferKind::ToPeers) = this->peers.BytesToPeers();
+  of(BufferKind::FromPeers) = this->peers.BytesFromPeers();
+  of(BufferKind::PackedLists) = this->peers.BytesPacked();
+  of(BufferKind::ToCallers) = this->callers.PendingBytes();
   return bytes;
 }
 
 bool EdgeDaemon::IsReady() const {
-  const auto age = this->view.ProofAge();
+  const auto age = this->view.ValidationAge();
   return !this->stop.IsStopping() && this->view.Table() && age &&
-         *age <= this->relaySettings.longestProofAge;
+         *age <= this->relaySettings.maxValidationAge;
 }
 
 std::string EdgeDaemon::MetricsText() {
-  const auto age = this->view.ProofAge();
+  const auto age = this->view.ValidationAge();
   this->metrics.Set("zincstep_active_requests",
                     static_cast<double>(this->relay.Active()));
   this->metrics.Set("zincstep_config_proof_age_seconds",
@@ -498,8 +503,9 @@
   const auto listsAge = this->view.ListsAge();
   this->metrics.Set("zincstep_lists_proof_age_seconds",
                     listsAge ? ToSeconds(*listsAge) : -1);
-  this->metrics.Set("zincstep_config_revision",
-                    static_cast<double>(this->view.ConfigFoundAt().number));
+  this->metrics.Set(
+      "zincstep_config_revision",
+      static_cast<double>(this->view.ConfigStoreRevision().number));
   this->metrics.Set("zincstep_config_version",
                     static_cast<double>(this->view.ConfigVersion()));
   this->metrics.Set("zincstep_store_era",
@@ -512,7 +518,8 @@
       "zincstep_blocked_requests",
       static_cast<double>(this->crashes.Blocked(this->clock.Now()).size()));
   this->held.Report(this->HeldBytes());
-  this->metrics.Set("zincstep_placement_duty", this->keeper.HasDuty() ? 1 : 0);
+  this->metrics.Set("zincstep_placement_duty",
+                    this->controller.IsLeader() ? 1 : 0);
   return this->metrics.Text();
 }
 
@@ -527,7 +534,7 @@
                   const MakeEdgeAdapters& aMakeAdapters) {
   std::signal(SIGPIPE, SIG_IGN);
   asio::io_context loop(1);
-  StoreEras eras;
+  StoreEraTracker eras;
   auto adapters = aMakeAdapters(loop, aSettings, eras);
   if (!adapters) {
     LogError("start_failed", {{"reason", adapters.error().message}});
--- a/Zincstep/Edge/EdgeDaemon.h
+++ b/Zincstep/Edge/EdgeDaemon.h
@@ -9,7 +9,7 @@
 
 /// Makes the adapters on the daemon's loop.
 using MakeEdgeAdapters = std::function<Result<EdgeAdapters>(
-    asio::io_context&, const EdgeSettings&, StoreEras&)>;
+    asio::io_context&, const EdgeSettings&, StoreEraTracker&)>;
 
 /// Runs the daemon until it is told to stop; gives its exit status.
 int RunEdgeDaemon(const EdgeSettings& aSettings,
--- a/Zincstep/Edge/EdgePeerMessage.cpp
+++ b/Zincstep/Edge/EdgePeerMessage.cpp
@@ -41,7 +41,7 @@
 }
 
 fb::Offset<edgewire::EntryList> WriteList(fb::FlatBufferBuilder& aBuilder,
-                                          const ListCopy& aList) {
+                                          const ListUpdate& aList) {
   std::vector<fb::Offset<edgewire::Entry>> entries;
   for (const StoreItem& item : aList.items) {
     const auto id = aBuilder.CreateString(item.key);
@@ -83,7 +83,7 @@
   }
 
   fb::Offset<void> operator()(const ClusterGive& aGive) {
-    const ClusterCopy& copy = aGive.copy;
+    const ClusterUpdate& copy = aGive.copy;
     const auto upstreams = this->WriteList(copy.upstreams);
     const auto daemons = this->WriteList(copy.daemons);
     std::vector<fb::Offset<edgewire::Peer>> names;
@@ -95,7 +95,7 @@
     const auto written = this->builder.CreateVector(names);
     return edgewire::CreateClusterGive(
                this->builder, aGive.question, copy.configRevision.number,
-               AgeOrNone(copy.proofAge), upstreams, daemons,
+               AgeOrNone(copy.validationAge), upstreams, daemons,
                AgeOrNone(copy.listsAge), aGive.era, copy.configVersion,
                aGive.packedGrace.count(), SizeOf(aGive.packedConfig),
                SizeOf(aGive.packedUpstreams), SizeOf(aGive.packedDaemons),
@@ -143,7 +143,7 @@
 
   /// The list; a null offset where there is none.
   fb::Offset<edgewire::EntryList> WriteList(
-      const std::optional<ListCopy>& aList) {
+      const std::optional<ListUpdate>& aList) {
     return aList ? zincstep::WriteList(this->builder, *aList) : 0;
   }
 
@@ -207,12 +207,12 @@
   return aAge >= 0 ? std::optional<Micros>(aAge) : std::nullopt;
 }
 
-std::optional<ListCopy> ReadList(const edgewire::EntryList* aTable,
-                                 std::uint64_t aEra) {
+std::optional<ListUpdate> ReadList(const edgewire::EntryList* aTable,
+                                   std::uint64_t aEra) {
   if (aTable == nullptr) {
     return std::nullopt;
   }
-  ListCopy copy;
+  ListUpdate copy;
   copy.at = {aTable->at(), aEra};
   copy.isWhole = aTable->whole();
   copy.grace = Micros{aTable->grace_us()};
@@ -254,8 +254,8 @@
 }
 
 /// The list that was packed; none where it is damaged.
-std::optional<ListCopy> UnpackList(std::string_view aPacked,
-                                   std::uint64_t aEra) {
+std::optional<ListUpdate> UnpackList(std::string_view aPacked,
+                                     std::uint64_t aEra) {
   const std::optional<std::string> text = UnpackText(aPacked);
   if (!text) {
     return std::nullopt;
@@ -315,7 +315,7 @@
   give.question = aTable.question();
   give.copy.configRevision = {aTable.config_revision(), give.era};
   give.copy.configVersion = aTable.config_version();
-  give.copy.proofAge = ReadAge(aTable.proof_age_us());
+  give.copy.validationAge = ReadAge(aTable.proof_age_us());
   give.copy.upstreams = ReadList(aTable.upstreams(), give.era);
   give.copy.daemons = ReadList(aTable.daemons(), give.era);
   give.copy.listsAge = ReadAge(aTable.lists_age_us());
@@ -360,23 +360,23 @@
   return packed;
 }
 
-std::string PackList(const ListCopy& aList) {
+std::string PackList(const ListUpdate& aList) {
   fb::FlatBufferBuilder builder;
   builder.Finish(WriteList(builder, aList));
   return PackText({reinterpret_cast<const char*>(builder.GetBufferPointer()),
                    builder.GetSize()});
 }
 
-PeerText WriteEdgePeerMessage(const EdgePeerMessage& aMessage) {
+PeerFrame WriteEdgePeerMessage(const EdgePeerMessage& aMessage) {
   fb::FlatBufferBuilder builder;
   const auto sender = builder.CreateString(aMessage.sender);
   const auto replyTo = builder.CreateString(aMessage.replyTo);
   const auto body = std::visit(BodyWriter(builder), aMessage.body);
   builder.Finish(edgewire::CreateMessage(builder, sender, replyTo,
                                          TypeOf(aMessage), body));
-  PeerText text{{reinterpret_cast<const char*>(builder.GetBufferPointer()),
-                 builder.GetSize()},
-                {}};
+  PeerFrame text{{reinterpret_cast<const char*>(builder.GetBufferPointer()),
+                  builder.GetSize()},
+                 {}};
   if (const auto* give = std::get_if<ClusterGive>(&aMessage.body)) {
     for (const SharedBytes& bytes :
          {give->packedConfig, give->packedUpstreams, give->packedDaemons}) {
--- a/Zincstep/Edge/EdgePeerMessage.h
+++ b/Zincstep/Edge/EdgePeerMessage.h
@@ -54,7 +54,7 @@
   /// Era of the store, as the sender knows it; all revisions are of it.
   std::uint64_t era = 0;
   std::uint64_t question = 0;
-  ClusterCopy copy;
+  ClusterUpdate copy;
   /// By `PackText` and `PackList` in place of the copy's, null where there is
   /// none; read, they stand in the copy.
   SharedBytes packedConfig;
@@ -101,9 +101,9 @@
 std::string PackText(std::string_view aText);
 /// A list as it is told to many: a FlatBuffer, by `PackText`. Entries of
 /// upstreams are texts that differ in a few places.
-std::string PackList(const ListCopy& aList);
+std::string PackList(const ListUpdate& aList);
 /// The message as a FlatBuffer, and what is packed behind it.
-PeerText WriteEdgePeerMessage(const EdgePeerMessage& aMessage);
+PeerFrame WriteEdgePeerMessage(const EdgePeerMessage& aMessage);
 /// The message in a buffer; fails with `BadRequest` where it has none.
 Result<EdgePeerMessage> ReadEdgePeerMessage(std::string_view aBuffer);
 
--- a/Zincstep/Edge/EdgeSettings.cpp
+++ b/Zincstep/Edge/EdgeSettings.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-Micros LongestReliance(const EdgeSettings& aSettings) {
+Micros MaxSyncStaleness(const EdgeSettings& aSettings) {
   return std::max(aSettings.drainNotice - kRelianceMargin, kShortestReliance);
 }
 
--- a/Zincstep/Edge/EdgeSettings.h
+++ b/Zincstep/Edge/EdgeSettings.h
@@ -46,7 +46,7 @@
 /// Longest age of a peer's word that a daemon acts on: the drain notice less
 /// the pause between looks at the age (0.15 s), a call of a slow store (0.25 s)
 /// and 0.25 s for the way to an upstream and a daemon that is slow.
-Micros LongestReliance(const EdgeSettings& aSettings);
+Micros MaxSyncStaleness(const EdgeSettings& aSettings);
 
 /// Reads them; ends the process with all faults where there are any.
 EdgeSettings ReadEdgeSettings(int aCount, char** aWords);
--- a/Zincstep/Edge/PackedConfiguration.cpp
+++ b/Zincstep/Edge/PackedConfiguration.cpp
@@ -5,10 +5,11 @@
 namespace zincstep {
 
 SharedBytes PackedConfiguration::Of(const ClusterView& aView) {
-  const bool isKept = this->bytes && this->foundAt == aView.ConfigFoundAt() &&
+  const bool isKept = this->bytes &&
+                      this->foundAt == aView.ConfigStoreRevision() &&
                       this->version == aView.ConfigVersion();
   if (!isKept) {
-    this->foundAt = aView.ConfigFoundAt();
+    this->foundAt = aView.ConfigStoreRevision();
     this->version = aView.ConfigVersion();
     this->bytes =
         std::make_shared<const std::string>(PackText(aView.ConfigText()));
--- a/Zincstep/Edge/PackedLists.cpp
+++ b/Zincstep/Edge/PackedLists.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-bool PackedLists::IsLong(const ListCopy& aList) {
+bool PackedLists::IsLong(const ListUpdate& aList) {
   return aList.items.size() + aList.removed.size() >= kFewestPacked;
 }
 
@@ -41,7 +41,7 @@
 }
 
 const PackedList& PackedLists::Add(StoreRevision aSince,
-                                   const ListCopy& aList) {
+                                   const ListUpdate& aList) {
   if (aList.at != this->at || this->lists.size() >= kMostKept ||
       this->Bytes() >= kMostBytes) {
     this->lists.clear();
--- a/Zincstep/Edge/PackedLists.h
+++ b/Zincstep/Edge/PackedLists.h
@@ -28,13 +28,13 @@
   /// `aSince`; null where nothing was.
   const PackedList* Find(StoreRevision aSince, StoreRevision aAt) const;
   /// Packs a list; what was packed of an earlier state is forgotten.
-  const PackedList& Add(StoreRevision aSince, const ListCopy& aList);
+  const PackedList& Add(StoreRevision aSince, const ListUpdate& aList);
 
   /// Bytes that are kept.
   std::size_t Bytes() const;
 
   /// Whether a list is long enough to be packed.
-  static bool IsLong(const ListCopy& aList);
+  static bool IsLong(const ListUpdate& aList);
 
  private:
   StoreRevision at;
--- a/Zincstep/Edge/PeerByteCount.cpp
+++ b/Zincstep/Edge/PeerByteCount.cpp
@@ -33,7 +33,7 @@
   const auto sum = [](const Bytes& aBytes) {
     return std::accumulate(aBytes.begin(), aBytes.end(), std::uint64_t{0});
   };
-  if (aNow < this->nextLine || sum(this->sent) + sum(this->received) == 0) {
+  if (aNow < this->nextLogAt || sum(this->sent) + sum(this->received) == 0) {
     return;
   }
   const auto kind = [](const Bytes& aBytes, PeerMessageKind aKind) {
@@ -55,7 +55,7 @@
                               kind(this->received, PeerMessageKind::Limits)}});
   this->sent.fill(0);
   this->received.fill(0);
-  this->nextLine = aNow + kLinePause;
+  this->nextLogAt = aNow + kLinePause;
 }
 
 }  // namespace zincstep
--- a/Zincstep/Edge/PeerByteCount.h
+++ b/Zincstep/Edge/PeerByteCount.h
@@ -46,7 +46,7 @@
   Metrics& metrics;
   Bytes sent{};
   Bytes received{};
-  Instant nextLine{};
+  Instant nextLogAt{};
 };
 
 }  // namespace zincstep
--- a/Zincstep/Edge/PeerMembers.cpp
+++ b/Zincstep/Edge/PeerMembers.cpp
@@ -60,12 +60,12 @@
       answeredAt(aClock.Now()) {
   Random random{Hash64(aSettings.name)};
   const double factor = 1 + kLonelinessSpread * random.Unit();
-  this->loneliness = FromSeconds(ToSeconds(kShortestLoneliness) * factor);
+  this->isolationTimeout = FromSeconds(ToSeconds(kShortestLoneliness) * factor);
   this->order[this->own.failureDomain].insert(this->own);
 }
 
-void PeerMembers::BeginAlone() {
-  this->orientedAt = this->clock.Now() - kSettleTime;
+void PeerMembers::StartWithoutPeers() {
+  this->discoveredAt = this->clock.Now() - kSettleTime;
 }
 
 bool PeerMembers::Precedence::operator()(const PeerName& aOne,
@@ -78,7 +78,7 @@
   return {aName, aMember.address, aMember.failureDomain, aMember.linkMbps};
 }
 
-std::vector<PeerMembers::Member*> PeerMembers::Seniors() {
+std::vector<PeerMembers::Member*> PeerMembers::HigherRanked() {
   std::vector<Member*> seniors;
   for (const PeerName& peer : this->order.at(this->own.failureDomain)) {
     if (peer.name == this->own.name) {
@@ -89,7 +89,7 @@
   return seniors;
 }
 
-bool PeerMembers::AnySenior(
+bool PeerMembers::AnyHigherRanked(
     const std::function<bool(const Member&)>& aHolds) const {
   for (const PeerName& peer : this->order.at(this->own.failureDomain)) {
     if (peer.name == this->own.name) {
@@ -108,7 +108,7 @@
       std::distance(near.begin(), near.find(this->own)));
 }
 
-bool PeerMembers::IsNear(const Member& aMember) const {
+bool PeerMembers::IsSameDomain(const Member& aMember) const {
   return aMember.failureDomain == this->settings.failureDomain;
 }
 
@@ -116,7 +116,7 @@
   this->keepsMissingUntil = this->clock.Now() + kReturnTime;
 }
 
-void PeerMembers::OnEntries(const ListCopy& aChanges) {
+void PeerMembers::OnEntries(const ListUpdate& aChanges) {
   if (aChanges.isWhole) {
     std::set<std::string> present;
     for (const StoreItem& item : aChanges.items) {
@@ -130,7 +130,7 @@
     this->isListed = present.contains(this->own.name);
   }
   for (const StoreItem& item : aChanges.items) {
-    this->TakeEntry(item);
+    this->ApplyEntry(item);
   }
   for (const std::string& key : aChanges.removed) {
     this->DropEntry(key);
@@ -139,7 +139,7 @@
 }
 
 void PeerMembers::SetRevision(Member& aMember, StoreRevision aRevision) {
-  if (this->IsNear(aMember)) {
+  if (this->IsSameDomain(aMember)) {
     this->listedNear -= aMember.revision.IsNone() ? 0 : 1;
     this->listedNear += aRevision.IsNone() ? 0 : 1;
   }
@@ -155,7 +155,7 @@
   this->isListed = this->isListed && name != this->own.name;
 }
 
-void PeerMembers::TakeEntry(const StoreItem& aItem) {
+void PeerMembers::ApplyEntry(const StoreItem& aItem) {
   const auto entry = DaemonEntry::Read(aItem.key, aItem.value);
   if (!entry) {
     this->DropEntry(aItem.key);
@@ -168,13 +168,13 @@
   this->SetRevision(this->Put(*entry), aItem.revision);
 }
 
-void PeerMembers::OnEarlyEntries(const std::vector<StoreItem>& aItems) {
+void PeerMembers::OnBootstrapEntries(const std::vector<StoreItem>& aItems) {
   for (const StoreItem& item : aItems) {
-    this->TakeEntry(item);
+    this->ApplyEntry(item);
   }
   if (this->isListed) {
     // The list is from after this domain's last start: all are in it.
-    this->BeginAlone();
+    this->StartWithoutPeers();
   }
 }
 
@@ -207,7 +207,7 @@
 
 void PeerMembers::Note(const PeerName& aPeer) {
   if (aPeer.name != this->own.name) {
-    this->Put(aPeer).heardAt = this->clock.Now();
+    this->Put(aPeer).lastSeenAt = this->clock.Now();
   }
 }
 
@@ -219,7 +219,7 @@
   for (auto entry = this->members.begin(); entry != this->members.end();) {
     Member& member = entry->second;
     const bool isKept =
-        !member.revision.IsNone() || now - member.heardAt < kUnlistedLife;
+        !member.revision.IsNone() || now - member.lastSeenAt < kUnlistedLife;
     if (isKept) {
       ++entry;
       continue;
@@ -229,65 +229,69 @@
   }
 }
 
-void PeerMembers::OnAsker(const PeerName& aAsker) { this->Note(aAsker); }
+void PeerMembers::OnQueryFrom(const PeerName& aRequester) {
+  this->Note(aRequester);
+}
 
-void PeerMembers::OnNamed(const std::vector<PeerName>& aFirst) {
-  if (!this->orientedAt) {
-    this->orientedAt = this->clock.Now();
+void PeerMembers::OnPeersDiscovered(const std::vector<PeerName>& aFirst) {
+  if (!this->discoveredAt) {
+    this->discoveredAt = this->clock.Now();
   }
   for (const PeerName& peer : aFirst) {
     this->Note(peer);
   }
 }
 
-std::vector<std::string> PeerMembers::Neighbours() const {
+std::vector<std::string> PeerMembers::DomainPeerAddresses() const {
   std::vector<std::string> near;
   for (const auto& [name, member] : this->members) {
-    if (this->IsNear(member)) {
+    if (this->IsSameDomain(member)) {
       near.push_back(member.address);
     }
   }
   return near;
 }
 
-bool PeerMembers::HasTeller() const {
-  return this->AnySenior(
-      [](const Member& aSenior) { return !aSenior.isPassedOver; });
+bool PeerMembers::HasSyncSource() const {
+  return this->AnyHigherRanked(
+      [](const Member& aCandidate) { return !aCandidate.isSkipped; });
 }
 
-bool PeerMembers::MayRely() const {
+bool PeerMembers::HasFreshSyncSource() const {
   const Instant now = this->clock.Now();
-  const Micros longest = LongestReliance(this->settings);
+  const Micros longest = MaxSyncStaleness(this->settings);
   // Whoever told last holds until the next one has read the store.
-  return this->HasTeller() && this->AnySenior([&](const Member& aSenior) {
-    return now - aSenior.toldFreshAt <= longest;
-  });
+  return this->HasSyncSource() &&
+         this->AnyHigherRanked([&](const Member& aCandidate) {
+           return now - aCandidate.toldFreshAt <= longest;
+         });
 }
 
-bool PeerMembers::MayAskStore() const {
+bool PeerMembers::MayQueryStore() const {
   const Instant now = this->clock.Now();
   if (this->isListed && this->listedNear < kFewDaemons) {
     return true;
   }
-  if (this->HasTeller()) {
+  if (this->HasSyncSource()) {
     const Micros isolatedAfter =
-        kIsolatedAfter + this->loneliness - kShortestLoneliness;
+        kIsolatedAfter + this->isolationTimeout - kShortestLoneliness;
     return now - this->answeredAt >= isolatedAfter;
   }
-  return this->orientedAt ? now - *this->orientedAt >= kSettleTime
-                          : now - this->startedAt >= this->loneliness;
+  return this->discoveredAt ? now - *this->discoveredAt >= kSettleTime
+                            : now - this->startedAt >= this->isolationTimeout;
 }
 
-bool PeerMembers::IsUseless(std::size_t aPlace, const Member& aSenior,
-                            int aMostUnanswered) const {
+bool PeerMembers::IsUnusableSource(std::size_t aPlace, const Member& aCandidate,
+                                   int aMaxUnanswered) const {
   // While a start gives it more questions, it has to read the lists first.
   const int mostStale = aPlace < kQuicklyPassed
-                            ? std::max(kMostStale, aMostUnanswered)
+                            ? std::max(kMostStale, aMaxUnanswered)
                             : kMostStaleLater;
-  return aSenior.unanswered >= aMostUnanswered || aSenior.stale >= mostStale;
+  return aCandidate.unanswered >= aMaxUnanswered ||
+         aCandidate.stale >= mostStale;
 }
 
-std::vector<std::string> PeerMembers::TakeTellers(int aMostUnanswered) {
+std::vector<std::string> PeerMembers::NextSyncSources(int aMaxUnanswered) {
   const Instant now = this->clock.Now();
   if (now >= this->nextForgetting) {
     this->nextForgetting = now + kForgettingPause;
@@ -295,17 +299,17 @@
   }
   std::vector<std::string> asked;
   std::size_t place = 0;
-  for (Member* senior : this->Seniors()) {
+  for (Member* senior : this->HigherRanked()) {
     Member& member = *senior;
-    if (!member.isPassedOver &&
-        this->IsUseless(place, member, aMostUnanswered)) {
+    if (!member.isSkipped &&
+        this->IsUnusableSource(place, member, aMaxUnanswered)) {
       LogInfo("peer_passed_over", {{"peer", member.address},
                                    {"unanswered", member.unanswered},
                                    {"stale", member.stale}});
-      member.isPassedOver = true;
+      member.isSkipped = true;
       member.askAgainAt = now + kPassedOverPause;
     }
-    if (!member.isPassedOver) {
+    if (!member.isSkipped) {
       member.unanswered += 1;
       asked.push_back(member.address);
       return asked;
@@ -322,10 +326,11 @@
 
 void PeerMembers::OnAnswer(const std::string& aAddress,
                            std::optional<Micros> aListsAge) {
-  const std::vector<Member*> seniors = this->Seniors();
-  const auto found = std::find_if(
-      seniors.begin(), seniors.end(),
-      [&](const Member* aSenior) { return aSenior->address == aAddress; });
+  const std::vector<Member*> seniors = this->HigherRanked();
+  const auto found = std::find_if(seniors.begin(), seniors.end(),
+                                  [&](const Member* aCandidate) {
+                                    return aCandidate->address == aAddress;
+                                  });
   if (found == seniors.end()) {
     return;
   }
@@ -335,15 +340,15 @@
   member.unanswered = 0;
   if (aListsAge && *aListsAge <= kFreshLists) {
     member.stale = 0;
-    member.isPassedOver = false;
+    member.isSkipped = false;
     member.toldFreshAt = now;
   } else {
     member.stale += 1;
   }
 }
 
-std::vector<PeerName> PeerMembers::FirstOf(const std::string& aFailureDomain,
-                                           const std::string& aAsker) const {
+std::vector<PeerName> PeerMembers::FirstOf(
+    const std::string& aFailureDomain, const std::string& aRequester) const {
   std::vector<PeerName> named;
   const auto found = this->order.find(aFailureDomain);
   if (found == this->order.end()) {
@@ -353,7 +358,7 @@
     if (named.size() == kNamed) {
       break;
     }
-    if (peer.name != aAsker) {
+    if (peer.name != aRequester) {
       named.push_back(peer);
     }
   }
--- a/Zincstep/Edge/PeerMembers.h
+++ b/Zincstep/Edge/PeerMembers.h
@@ -28,13 +28,13 @@
     /// Of its entry; none: it has no entry yet that is known here.
     StoreRevision revision;
     /// When a peer named it, or it asked this one itself.
-    Instant heardAt{};
+    Instant lastSeenAt{};
     /// Questions in a row that it has not answered.
     int unanswered = 0;
     /// Answers in a row without fresh lists.
     int stale = 0;
     /// It does not answer, or knows nothing fresh: the next one tells instead.
-    bool isPassedOver = false;
+    bool isSkipped = false;
     Instant askAgainAt{};
     /// When it last told lists that were up to the store.
     Instant toldFreshAt{};
@@ -44,20 +44,20 @@
 
   /// So many questions in a row without an answer: the member has ended, or is
   /// cut off, and the next one is asked.
-  static constexpr int kMostUnanswered = 3;
+  static constexpr int kMaxUnanswered = 3;
 
   /// There is nobody to hear of: this daemon need not wait for peers.
-  void BeginAlone();
+  void StartWithoutPeers();
   /// Takes what has changed of the daemons' entries in the store.
-  void OnEntries(const ListCopy& aChanges);
+  void OnEntries(const ListUpdate& aChanges);
   /// Takes entries of this failure domain's daemons as they were lately, at the
   /// start.
-  void OnEarlyEntries(const std::vector<StoreItem>& aItems);
+  void OnBootstrapEntries(const std::vector<StoreItem>& aItems);
   /// A peer that is alive: it has asked this one.
-  void OnAsker(const PeerName& aAsker);
+  void OnQueryFrom(const PeerName& aRequester);
   /// A peer names the first daemons of this failure domain that it knows of;
   /// none where it knows only this one.
-  void OnNamed(const std::vector<PeerName>& aFirst);
+  void OnPeersDiscovered(const std::vector<PeerName>& aFirst);
   /// The store has come back from a copy, which lacks some of the daemons.
   void OnRestored();
   /// By name.
@@ -66,38 +66,40 @@
   std::uint64_t Changes() const { return this->changes; }
   /// Whether a member is of this failure domain, whose upstreams it shares
   /// most.
-  bool IsNear(const Member& aMember) const;
+  bool IsSameDomain(const Member& aMember) const;
   /// Addresses of this failure domain's other members.
-  std::vector<std::string> Neighbours() const;
+  std::vector<std::string> DomainPeerAddresses() const;
 
   /// How many members of this failure domain come before this one.
   std::size_t Rank() const;
   /// Whether another member tells this one what the store holds. Where there is
   /// none, this one asks the store.
-  bool HasTeller() const;
+  bool HasSyncSource() const;
   /// Whether a teller has told fresh lists lately.
-  bool MayRely() const;
+  bool HasFreshSyncSource() const;
   /// Whether it is known who is there, as far as peers or the store tell.
-  bool KnowsPeers() const {
-    return this->orientedAt.has_value() || this->Rank() > 0;
+  bool HasDiscoveredPeers() const {
+    return this->discoveredAt.has_value() || this->Rank() > 0;
   }
   /// Whether this daemon may ask the store where it cannot rely on a teller.
   /// One of few may; of many only who knows of nobody before it that is of use,
   /// or is answered by nobody.
-  bool MayAskStore() const;
+  bool MayQueryStore() const;
   /// Whether this daemon asks the store for its failure domain.
-  bool Leads() const { return !this->HasTeller() && this->MayAskStore(); }
+  bool IsDomainLeader() const {
+    return !this->HasSyncSource() && this->MayQueryStore();
+  }
   /// Addresses to ask for what is new: of the teller, and of one that was
   /// passed over and is to be tried again. Each address counts as asked; one
-  /// that has left `aMostUnanswered` questions in a row is passed over, and so
+  /// that has left `aMaxUnanswered` questions in a row is passed over, and so
   /// is one that knows nothing fresh.
-  std::vector<std::string> TakeTellers(int aMostUnanswered = kMostUnanswered);
+  std::vector<std::string> NextSyncSources(int aMaxUnanswered = kMaxUnanswered);
   /// A member has answered; `aListsAge` is the age of what it told, if it did.
   void OnAnswer(const std::string& aAddress, std::optional<Micros> aListsAge);
   /// The first daemons of a failure domain that are known here, this one
-  /// included, without `aAsker`.
+  /// included, without `aRequester`.
   std::vector<PeerName> FirstOf(const std::string& aFailureDomain,
-                                const std::string& aAsker) const;
+                                const std::string& aRequester) const;
 
  private:
   /// Whether one daemon comes before another.
@@ -107,15 +109,15 @@
 
   static PeerName NameOf(const std::string& aName, const Member& aMember);
   /// This failure domain's members that come before this one, in order.
-  std::vector<Member*> Seniors();
-  bool AnySenior(const std::function<bool(const Member&)>& aHolds) const;
+  std::vector<Member*> HigherRanked();
+  bool AnyHigherRanked(const std::function<bool(const Member&)>& aHolds) const;
   void SetRevision(Member& aMember, StoreRevision aRevision);
   /// A member is about to be another one, or to go.
   void Unsort(const std::string& aName, Member& aMember);
   /// A member as it names itself; what is known of an earlier process at its
   /// VM is forgotten.
   Member& Put(const PeerName& aPeer);
-  void TakeEntry(const StoreItem& aItem);
+  void ApplyEntry(const StoreItem& aItem);
   /// A daemon has no entry any more, or none that can be read.
   void DropEntry(const std::string& aKey);
   /// Takes a peer that need not have an entry yet.
@@ -123,8 +125,8 @@
   /// Forgets peers without an entry that have not been heard of for a while.
   void ForgetUnlisted();
   /// Whether the senior at that place is of no use as a teller.
-  bool IsUseless(std::size_t aPlace, const Member& aSenior,
-                 int aMostUnanswered) const;
+  bool IsUnusableSource(std::size_t aPlace, const Member& aCandidate,
+                        int aMaxUnanswered) const;
 
   const EdgeSettings& settings;
   const Clock& clock;
@@ -132,7 +134,7 @@
   Instant startedAt;
   /// How long after that it begins by itself where nobody has answered, apart
   /// from daemons that started with it.
-  Micros loneliness{0};
+  Micros isolationTimeout{0};
   std::map<std::string, Member> members;
   /// All daemons by failure domain, this one included, in order.
   std::map<std::string, std::set<PeerName, Precedence>> order;
@@ -141,7 +143,7 @@
   bool isListed = false;
   std::size_t listedNear = 0;
   /// When a peer or the store first told who is there.
-  std::optional<Instant> orientedAt;
+  std::optional<Instant> discoveredAt;
   /// When a senior last answered, whatever it knew.
   Instant answeredAt{};
   Instant keepsMissingUntil{};
--- a/Zincstep/Edge/PeerExchange.cpp
+++ b/Zincstep/Edge/PeerProtocol.cpp
@@ -1,4 +1,4 @@
-#include "Zincstep/Edge/PeerExchange.h"
+#include "Zincstep/Edge/PeerProtocol.h"
 
 #include <limits>
 #include <sstream>
@@ -87,12 +87,12 @@
 
 }  // namespace
 
-PeerExchange::PeerExchange(asio::io_context& aLoop,
+PeerProtocol::PeerProtocol(asio::io_context& aLoop,
                            const EdgeSettings& aSettings, AsyncStore& aStore,
                            ClusterView& aView, const Clock& aClock,
-                           Random& aRandom, Metrics& aMetrics, StoreEras& aEras,
-                           OnToldSuspicion aOnSuspicion,
-                           OnToldCrashes aOnCrashes, OnToldLimits aOnLimits,
+                           Random& aRandom, Metrics& aMetrics,
+                           StoreEraTracker& aEras, OnPeerSuspicion aOnSuspicion,
+                           OnPeerCrashes aOnCrashes, OnPeerLimits aOnLimits,
                            OwnDemand aOwnDemand)
     : loop(aLoop),
       settings(aSettings),
@@ -111,28 +111,29 @@
       seeds(SeedPeers(aSettings)),
       startedAt(aClock.Now()) {
   if (this->seeds.empty()) {
-    this->members.BeginAlone();
+    this->members.StartWithoutPeers();
   }
-  PeerHubSettings hubSettings;
+  PeerTransportSettings hubSettings;
   hubSettings.listen = aSettings.peerListen;
   hubSettings.seed = Hash64(aSettings.name);
-  hubSettings.longestReconnect = kLongestReconnect;
+  hubSettings.maxReconnectBackoff = kLongestReconnect;
   const double memory = aSettings.memoryMb * kBytesPerMb;
-  hubSettings.maxHeldBytes = static_cast<std::size_t>(memory * kSendingShare);
-  hubSettings.maxQueuedBytes = hubSettings.maxHeldBytes;
-  hubSettings.maxUntakenBytes =
+  hubSettings.maxTotalQueuedBytes =
+      static_cast<std::size_t>(memory * kSendingShare);
+  hubSettings.maxQueuedBytes = hubSettings.maxTotalQueuedBytes;
+  hubSettings.maxUnconsumedBytes =
       static_cast<std::size_t>(memory * kReceivingShare);
-  this->hub = MakePeerHub(hubSettings, *this);
+  this->transport = MakePeerTransport(hubSettings, *this);
 }
 
-Result<void> PeerExchange::Start() { return this->hub->Start(); }
+Result<void> PeerProtocol::Start() { return this->transport->Start(); }
 
-void PeerExchange::Stop() { this->hub->Stop(); }
+void PeerProtocol::Stop() { this->transport->Stop(); }
 
-void PeerExchange::OnPeerData(std::string aMessage) {
+void PeerProtocol::OnPeerData(std::string aMessage) {
   // Comes on the hub's thread; all beliefs belong to the loop's.
   asio::post(this->loop, [this, text = std::move(aMessage)] {
-    this->hub->OnTaken(text.size());
+    this->transport->OnTaken(text.size());
     const auto message = ReadEdgePeerMessage(text);
     if (!message) {
       LogWarning("peer_message_refused", {{"reason", message.error().message}});
@@ -143,7 +144,7 @@
   });
 }
 
-void PeerExchange::OnMessage(const EdgePeerMessage& aMessage) {
+void PeerProtocol::OnMessage(const EdgePeerMessage& aMessage) {
   if (const auto* gossip = std::get_if<WorkGossip>(&aMessage.body)) {
     this->OnGossip(aMessage.sender, *gossip);
   } else if (const auto* told = std::get_if<DemandGossip>(&aMessage.body)) {
@@ -162,23 +163,23 @@
   }
 }
 
-void PeerExchange::OnRestored() {
+void PeerProtocol::OnRestored() {
   // What was asked for before would be answered in revisions of another era.
   this->questions.clear();
   this->entries.OnRestored(this->random);
   this->members.OnRestored();
-  this->nextReliance = {};
+  this->nextSyncQuery = {};
 }
 
-PeerText PeerExchange::Hint() const {
+PeerFrame PeerProtocol::Hint() const {
   ClusterGive hint;
   hint.era = this->Era();
   hint.question = kUnasked;
-  hint.copy = this->view.CopyFor(kNothingWanted);
+  hint.copy = this->view.UpdateFor(kNothingWanted);
   return this->Write(std::move(hint));
 }
 
-void PeerExchange::OnGossip(const std::string& aSender,
+void PeerProtocol::OnGossip(const std::string& aSender,
                             const WorkGossip& aGossip) {
   const Instant now = this->clock.Now();
   std::vector<PeerShare> shares;
@@ -192,8 +193,8 @@
     if (work.work > 0) {
       shares.push_back({upstream, work.work});
     }
-    if (work.pace > 1 && upstream->Pace(now) <= 1) {
-      upstream->SetPace(work.pace, now, Evidence::Told);
+    if (work.pace > 1 && upstream->Slowdown(now) <= 1) {
+      upstream->SetSlowdown(work.pace, now, Provenance::Told);
     }
     if (work.isSuspect && !upstream->IsSuspect(now)) {
       this->onSuspicion(upstream);
@@ -202,13 +203,13 @@
   this->work.Tell(aSender, std::move(shares), now);
 }
 
-void PeerExchange::OnWant(const std::string& aSender,
+void PeerProtocol::OnWant(const std::string& aSender,
                           const std::string& aAddress,
                           const ClusterWant& aWant) {
   const PeerName asker{aSender, aAddress, aWant.failureDomain, aWant.linkMbps};
   if (aWant.wantsEntry) {
-    this->members.OnAsker(asker);
-    this->entries.OnAsker(asker);
+    this->members.OnQueryFrom(asker);
+    this->entries.OnQueryFrom(asker);
   }
   ClusterGive give = this->answers.To(aWant, this->Era());
   if (aWant.wantsNames) {
@@ -217,7 +218,7 @@
   this->Send(aAddress, std::move(give));
 }
 
-void PeerExchange::GossipSoon() {
+void PeerProtocol::GossipSoon() {
   if (this->isGossipDue) {
     return;
   }
@@ -229,7 +230,7 @@
   });
 }
 
-void PeerExchange::OnGive(const ClusterGive& aGive) {
+void PeerProtocol::OnGive(const ClusterGive& aGive) {
   const auto asked = this->questions.find(aGive.question);
   if (asked == this->questions.end()) {
     return;
@@ -244,36 +245,36 @@
     this->OnNames(aGive.names);
     return;
   }
-  ClusterCopy copy = aGive.copy;
+  ClusterUpdate copy = aGive.copy;
   if (!question.wantsUpstreams) {
     copy.listsAge.reset();
   }
   this->CompareVersions(question.address, copy);
   const bool knewNobody = this->members.All().empty();
-  this->view.OnCopy(copy, question.askedAt);
+  this->view.OnUpdate(copy, question.askedAt);
   if (knewNobody && !this->members.All().empty() && this->IsNew()) {
     this->AskPeers(this->clock.Now());
   }
 }
 
-void PeerExchange::OnNames(std::vector<PeerName> aNames) {
-  const bool hadTeller = this->members.HasTeller();
+void PeerProtocol::OnNames(std::vector<PeerName> aNames) {
+  const bool hadTeller = this->members.HasSyncSource();
   for (PeerName& peer : aNames) {
     peer.failureDomain = this->settings.failureDomain;
   }
-  this->members.OnNamed(aNames);
-  if (!hadTeller && this->members.HasTeller()) {
-    this->AskTellers(this->clock.Now());
+  this->members.OnPeersDiscovered(aNames);
+  if (!hadTeller && this->members.HasSyncSource()) {
+    this->QuerySyncSources(this->clock.Now());
   }
 }
 
-void PeerExchange::OnEarlyEntries(const std::vector<StoreItem>& aItems) {
-  this->members.OnEarlyEntries(aItems);
-  this->AskTellers(this->clock.Now());
+void PeerProtocol::OnBootstrapEntries(const std::vector<StoreItem>& aItems) {
+  this->members.OnBootstrapEntries(aItems);
+  this->QuerySyncSources(this->clock.Now());
 }
 
-void PeerExchange::CompareVersions(const std::string& aAddress,
-                                   const ClusterCopy& aCopy) {
+void PeerProtocol::CompareVersions(const std::string& aAddress,
+                                   const ClusterUpdate& aCopy) {
   const std::uint64_t own = this->view.ConfigVersion();
   const bool lacksText = aCopy.configVersion > own && aCopy.configText.empty();
   if (lacksText) {
@@ -284,13 +285,13 @@
     // The store's copy has lost what is in force here.
     this->SendText(aAddress, PeerMessageKind::Give, this->Hint());
   }
-  this->view.OnPeersHeard();
+  this->view.OnPeersAnswered();
 }
 
-void PeerExchange::OnHint(const std::string& aAddress,
-                          const ClusterCopy& aCopy) {
+void PeerProtocol::OnHint(const std::string& aAddress,
+                          const ClusterUpdate& aCopy) {
   const Instant now = this->clock.Now();
-  const bool isNews = aCopy.configRevision > this->view.ConfigFoundAt() ||
+  const bool isNews = aCopy.configRevision > this->view.ConfigStoreRevision() ||
                       aCopy.configVersion > this->view.ConfigVersion();
   if (isNews && now >= this->nextHintTaken) {
     this->nextHintTaken = now + kHintPause;
@@ -298,31 +299,31 @@
   }
 }
 
-void PeerExchange::OnDaemonEntries(const std::string& aDutyHolder) {
-  this->dutyHolder = aDutyHolder;
+void PeerProtocol::OnDaemonEntries(const std::string& aPlacementLeader) {
+  this->placementLeader = aPlacementLeader;
   this->entries.OnEntries(this->view.Daemons().Items());
   const ItemList& daemons = this->view.Daemons().List();
-  this->members.OnEntries(daemons.CopySince(this->entriesAt));
+  this->members.OnEntries(daemons.UpdateSince(this->entriesAt));
   this->entriesAt = daemons.At();
 }
 
-bool PeerExchange::IsNew() const { return !this->view.ListsAge(); }
+bool PeerProtocol::IsNew() const { return !this->view.ListsAge(); }
 
-void PeerExchange::Tick() {
+void PeerProtocol::Tick() {
   const Instant now = this->clock.Now();
   this->bytes.Tick(now);
   this->work.Tick(now, kMissedTellings * this->GossipPause());
-  this->entries.Keep(this->members.Leads());
+  this->entries.Keep(this->members.IsDomainLeader());
   if (now >= this->nextGossip) {
     this->nextGossip = now + this->GossipPause();
     this->Gossip();
   }
   if (now >= this->nextDemand) {
     this->nextDemand = now + kDemandPause;
-    this->TellDemand(now);
+    this->ReportDemand(now);
   }
-  if (now >= this->nextReliance) {
-    this->AskTellers(now);
+  if (now >= this->nextSyncQuery) {
+    this->QuerySyncSources(now);
   }
   if (now < this->nextQuestion) {
     return;
@@ -330,68 +331,68 @@
   const auto isOld = [](std::optional<Micros> aAge) {
     return !aAge || *aAge > kOwnProofAge;
   };
-  if (this->IsNew() && !this->members.HasTeller()) {
+  if (this->IsNew() && !this->members.HasSyncSource()) {
     this->nextQuestion = now + kFirstQuestionPause;
     this->AskSeeds(now);
-  } else if (isOld(this->view.ProofAge()) || isOld(this->view.ListsAge())) {
+  } else if (isOld(this->view.ValidationAge()) ||
+             isOld(this->view.ListsAge())) {
     this->nextQuestion = now + kQuestionPause;
     this->AskPeers(now);
   }
 }
 
-void PeerExchange::AskTellers(Instant aNow) {
+void PeerProtocol::QuerySyncSources(Instant aNow) {
   const bool isNew = this->IsNew();
-  this->nextReliance = aNow + (isNew ? kFirstQuestionPause : kReliancePause);
-  const int most =
-      isNew ? kMostUnansweredAtStart : PeerMembers::kMostUnanswered;
-  for (const std::string& address : this->members.TakeTellers(most)) {
+  this->nextSyncQuery = aNow + (isNew ? kFirstQuestionPause : kReliancePause);
+  const int most = isNew ? kMostUnansweredAtStart : PeerMembers::kMaxUnanswered;
+  for (const std::string& address : this->members.NextSyncSources(most)) {
     this->Ask(address, aNow);
   }
 }
 
-void PeerExchange::AskSeeds(Instant aNow) {
+void PeerProtocol::AskSeeds(Instant aNow) {
   for (const std::string& address : this->seeds) {
     this->Ask(address, aNow, Wanted::Names);
   }
 }
 
-void PeerExchange::TellDemand(Instant aNow) {
+void PeerProtocol::ReportDemand(Instant aNow) {
   const std::optional<double> own = this->ownDemand();
   if (!own) {
     return;
   }
-  if (this->dutyHolder == this->settings.name) {
+  if (this->placementLeader == this->settings.name) {
     this->demand.Tell(this->settings.name, *own, aNow);
   } else {
-    this->TellDutyHolder(DemandGossip{*own});
+    this->SendToPlacementLeader(DemandGossip{*own});
   }
 }
 
-void PeerExchange::TellDutyHolder(EdgePeerBody aBody) {
-  const auto holder = this->members.All().find(this->dutyHolder);
+void PeerProtocol::SendToPlacementLeader(EdgePeerBody aBody) {
+  const auto holder = this->members.All().find(this->placementLeader);
   if (holder != this->members.All().end()) {
     this->Send(holder->second.address, std::move(aBody));
   }
 }
 
-Micros PeerExchange::GossipPause() const {
+Micros PeerProtocol::GossipPause() const {
   const auto tellers =
       std::count_if(this->members.All().begin(), this->members.All().end(),
                     [this](const auto& aMember) {
-                      return this->members.IsNear(aMember.second);
+                      return this->members.IsSameDomain(aMember.second);
                     });
   return std::max(kGossipPause,
                   FromSeconds(static_cast<double>(tellers) / kWorkMessages));
 }
 
-void PeerExchange::Gossip() {
+void PeerProtocol::Gossip() {
   const Instant now = this->clock.Now();
   WorkGossip gossip;
   bool hasSuspects = false;
   for (const auto& [id, upstream] : this->view.Directory().All()) {
     const bool isSuspect = upstream->IsSuspect(now);
     hasSuspects = hasSuspects || isSuspect;
-    const double pace = upstream->FoundPace(now);
+    const double pace = upstream->ObservedSlowdown(now);
     if (upstream->own > 0 || isSuspect || pace > 1) {
       gossip.works.push_back(
           {upstream->Number(), upstream->own, isSuspect, pace});
@@ -402,26 +403,26 @@
     return;
   }
   this->toldWork = !gossip.works.empty();
-  const PeerText message = this->Write(std::move(gossip));
+  const PeerFrame message = this->Write(std::move(gossip));
   const bool tellsAll = this->members.All().size() <= kFewMembers;
   for (const auto& [name, member] : this->members.All()) {
-    const bool shares = this->members.IsNear(member);
-    const bool places = hasSuspects && name == this->dutyHolder;
+    const bool shares = this->members.IsSameDomain(member);
+    const bool places = hasSuspects && name == this->placementLeader;
     if (tellsAll || shares || places) {
       this->SendText(member.address, PeerMessageKind::Work, message);
     }
   }
 }
 
-void PeerExchange::TellAll(EdgePeerBody aBody) {
+void PeerProtocol::Broadcast(EdgePeerBody aBody) {
   const PeerMessageKind kind = KindOf(aBody);
-  const PeerText message = this->Write(std::move(aBody));
+  const PeerFrame message = this->Write(std::move(aBody));
   for (const auto& [name, member] : this->members.All()) {
     this->SendText(member.address, kind, message);
   }
 }
 
-std::vector<std::string> PeerExchange::KnownAddresses() const {
+std::vector<std::string> PeerProtocol::KnownAddresses() const {
   std::vector<std::string> known = this->seeds;
   for (const auto& [name, member] : this->members.All()) {
     known.push_back(member.address);
@@ -431,19 +432,19 @@
   return known;
 }
 
-void PeerExchange::OnConfiguration() {
-  if (this->members.HasTeller()) {
+void PeerProtocol::OnConfiguration() {
+  if (this->members.HasSyncSource()) {
     return;  // Who told it has told the others.
   }
   // The text is large, and after an outage everybody has it from the store:
   // those that lack it ask for it.
-  const PeerText hint = this->Hint();
-  for (const std::string& address : this->members.Neighbours()) {
+  const PeerFrame hint = this->Hint();
+  for (const std::string& address : this->members.DomainPeerAddresses()) {
     this->SendText(address, PeerMessageKind::Give, hint);
   }
 }
 
-void PeerExchange::Ask(const std::string& aAddress, Instant aNow,
+void PeerProtocol::Ask(const std::string& aAddress, Instant aNow,
                        Wanted aWanted) {
   std::erase_if(this->questions, [aNow](const auto& aQuestion) {
     return aNow - aQuestion.second.askedAt > kQuestionLife;
@@ -477,26 +478,26 @@
   this->Send(aAddress, std::move(want));
 }
 
-bool PeerExchange::MayAskForAll(const std::string& aAddress,
+bool PeerProtocol::MayAskForAll(const std::string& aAddress,
                                 Instant aNow) const {
   const auto open = this->questions.find(this->questionForAll);
   if (open != this->questions.end() &&
       aNow - open->second.askedAt < kAllPatience) {
     return false;
   }
-  const std::vector<std::string> near = this->members.Neighbours();
+  const std::vector<std::string> near = this->members.DomainPeerAddresses();
   return near.empty() || !this->AsksNearOnly(aNow) ||
          std::find(near.begin(), near.end(), aAddress) != near.end();
 }
 
-bool PeerExchange::AsksNearOnly(Instant aNow) const {
+bool PeerProtocol::AsksNearOnly(Instant aNow) const {
   // Where those that are near have all begun anew too, anybody is asked.
   return this->IsNew() && aNow - this->startedAt < kNearPatience;
 }
 
-void PeerExchange::AskPeers(Instant aNow) {
+void PeerProtocol::AskPeers(Instant aNow) {
   std::vector<std::string> known = this->AsksNearOnly(aNow)
-                                       ? this->members.Neighbours()
+                                       ? this->members.DomainPeerAddresses()
                                        : std::vector<std::string>{};
   if (known.empty()) {
     known = this->KnownAddresses();
@@ -508,20 +509,20 @@
   }
 }
 
-PeerText PeerExchange::Write(EdgePeerBody aBody) const {
+PeerFrame PeerProtocol::Write(EdgePeerBody aBody) const {
   return WriteEdgePeerMessage(
       {this->settings.name, this->settings.peerListen, std::move(aBody)});
 }
 
-void PeerExchange::Send(const std::string& aAddress, EdgePeerBody aBody) {
+void PeerProtocol::Send(const std::string& aAddress, EdgePeerBody aBody) {
   const PeerMessageKind kind = KindOf(aBody);
   this->SendText(aAddress, kind, this->Write(std::move(aBody)));
 }
 
-void PeerExchange::SendText(const std::string& aAddress, PeerMessageKind aKind,
-                            const PeerText& aMessage) {
+void PeerProtocol::SendText(const std::string& aAddress, PeerMessageKind aKind,
+                            const PeerFrame& aMessage) {
   this->bytes.AddSent(aKind, aMessage.Size());
-  this->hub->Send(aAddress, aMessage);
+  this->transport->Send(aAddress, aMessage);
 }
 
 }  // namespace zincstep
--- a/Zincstep/Edge/PeerExchange.h
+++ b/Zincstep/Edge/PeerProtocol.h
@@ -8,12 +8,12 @@
 #include <vector>
 
 #include "Zincstep/Cluster/Cluster.h"
+#include "Zincstep/Edge/DaemonRegistrar.h"
 #include "Zincstep/Edge/EdgePeerMessage.h"
 #include "Zincstep/Edge/EdgeSettings.h"
-#include "Zincstep/Edge/EntryKeeper.h"
-#include "Zincstep/Edge/PeerAnswers.h"
 #include "Zincstep/Edge/PeerByteCount.h"
 #include "Zincstep/Edge/PeerMembers.h"
+#include "Zincstep/Edge/PeerResponder.h"
 #include "Zincstep/Peer/Peer.h"
 
 namespace zincstep {
@@ -23,28 +23,28 @@
 /// Tells those of the same failure domain how much work is in flight, and
 /// asks any of them what it knows when the store does not answer. Daemons
 /// find each other by entries in the store, and by the seeds.
-class PeerExchange final : private PeerListener {
+class PeerProtocol final : private PeerListener {
  public:
   /// What this daemon's callers need; none where that is not known.
   using OwnDemand = std::function<std::optional<double>()>;
   /// Called with an upstream that a peer suspects and this daemon does not.
-  using OnToldSuspicion = std::function<void(const UpstreamPtr&)>;
+  using OnPeerSuspicion = std::function<void(const UpstreamPtr&)>;
 
   /// Called with what a peer tells of requests that end upstreams, and where it
   /// listens.
-  using OnToldCrashes =
+  using OnPeerCrashes =
       std::function<void(const CrashGossip&, const std::string&)>;
 
   /// Called with what a peer tells of limits that upstreams name, its name, and
   /// where it listens.
-  using OnToldLimits = std::function<void(
+  using OnPeerLimits = std::function<void(
       const LimitGossip&, const std::string&, const std::string&)>;
 
-  PeerExchange(asio::io_context& aLoop, const EdgeSettings& aSettings,
+  PeerProtocol(asio::io_context& aLoop, const EdgeSettings& aSettings,
                AsyncStore& aStore, ClusterView& aView, const Clock& aClock,
-               Random& aRandom, Metrics& aMetrics, StoreEras& aEras,
-               OnToldSuspicion aOnSuspicion, OnToldCrashes aOnCrashes,
-               OnToldLimits aOnLimits, OwnDemand aOwnDemand);
+               Random& aRandom, Metrics& aMetrics, StoreEraTracker& aEras,
+               OnPeerSuspicion aOnSuspicion, OnPeerCrashes aOnCrashes,
+               OnPeerLimits aOnLimits, OwnDemand aOwnDemand);
 
   Result<void> Start();
   /// This daemon will end: it is taken off the list of daemons.
@@ -60,7 +60,7 @@
     return this->demand.Peak(this->clock.Now());
   }
   /// Entries of this failure domain's daemons, as the store had them lately.
-  void OnEarlyEntries(const std::vector<StoreItem>& aItems);
+  void OnBootstrapEntries(const std::vector<StoreItem>& aItems);
   /// Daemons that are known, this one included.
   std::size_t Daemons() const { return this->members.All().size() + 1; }
   /// The store has come back from a copy: what this daemon keeps there is
@@ -71,19 +71,21 @@
   /// Tells this daemon's work and suspicions at once.
   void GossipSoon();
   /// Tells all daemons at once.
-  void TellAll(EdgePeerBody aBody);
+  void Broadcast(EdgePeerBody aBody);
   /// Tells one daemon.
   void Send(const std::string& aAddress, EdgePeerBody aBody);
   /// Tells whoever places layers, if that is another daemon.
-  void TellDutyHolder(EdgePeerBody aBody);
-  /// The view's entries of daemons have changed; `aDutyHolder` places layers
-  /// and is told of suspicions wherever it is.
-  void OnDaemonEntries(const std::string& aDutyHolder);
+  void SendToPlacementLeader(EdgePeerBody aBody);
+  /// The view's entries of daemons have changed; `aPlacementLeader` places
+  /// layers and is told of suspicions wherever it is.
+  void OnDaemonEntries(const std::string& aPlacementLeader);
   /// Bytes of messages that wait to be sent.
-  std::size_t BytesToPeers() const { return this->hub->Traffic().heldBytes; }
+  std::size_t BytesToPeers() const {
+    return this->transport->Traffic().totalQueuedBytes;
+  }
   /// Bytes of messages that have come and are not read yet.
   std::size_t BytesFromPeers() const {
-    return this->hub->Traffic().untakenBytes;
+    return this->transport->Traffic().unconsumedBytes;
   }
   /// Bytes that are kept packed for whoever asks.
   std::size_t BytesPacked() const { return this->answers.Bytes(); }
@@ -112,24 +114,24 @@
   void OnGive(const ClusterGive& aGive);
   /// Either side is told where the other has a configuration of a higher
   /// version.
-  void CompareVersions(const std::string& aAddress, const ClusterCopy& aCopy);
+  void CompareVersions(const std::string& aAddress, const ClusterUpdate& aCopy);
   /// A message that says which configuration is in force here.
-  PeerText Hint() const;
+  PeerFrame Hint() const;
   std::uint64_t Era() const { return this->eras.Present().value_or(0); }
   /// A peer has a configuration that may be newer.
-  void OnHint(const std::string& aAddress, const ClusterCopy& aCopy);
+  void OnHint(const std::string& aAddress, const ClusterUpdate& aCopy);
   /// Whether peers have not told what this daemon needs to begin.
   bool IsNew() const;
   void Gossip();
   /// Tells whoever places layers what this daemon's callers need.
-  void TellDemand(Instant aNow);
+  void ReportDemand(Instant aNow);
   /// Between two tellings of this daemon's work.
   Micros GossipPause() const;
   void AskPeers(Instant aNow);
   /// Asks the seeds who is there.
   void AskSeeds(Instant aNow);
   /// Asks whoever tells this daemon what the store holds.
-  void AskTellers(Instant aNow);
+  void QuerySyncSources(Instant aNow);
   std::vector<std::string> KnownAddresses() const;
   void Ask(const std::string& aAddress, Instant aNow,
            Wanted aWanted = Wanted::News);
@@ -138,31 +140,31 @@
   bool MayAskForAll(const std::string& aAddress, Instant aNow) const;
   /// Whether only members of the own failure domain are asked for all.
   bool AsksNearOnly(Instant aNow) const;
-  PeerText Write(EdgePeerBody aBody) const;
+  PeerFrame Write(EdgePeerBody aBody) const;
   /// Sends a message that is written already.
   void SendText(const std::string& aAddress, PeerMessageKind aKind,
-                const PeerText& aMessage);
+                const PeerFrame& aMessage);
 
   asio::io_context& loop;
   const EdgeSettings& settings;
   ClusterView& view;
   const Clock& clock;
   Random& random;
-  OnToldSuspicion onSuspicion;
-  OnToldCrashes onCrashes;
-  OnToldLimits onLimits;
+  OnPeerSuspicion onSuspicion;
+  OnPeerCrashes onCrashes;
+  OnPeerLimits onLimits;
   OwnDemand ownDemand;
-  StoreEras& eras;
+  StoreEraTracker& eras;
   PeerByteCount bytes;
-  EntryKeeper entries;
-  PeerAnswers answers;
-  std::unique_ptr<PeerHub> hub;
+  DaemonRegistrar entries;
+  PeerResponder answers;
+  std::unique_ptr<PeerTransport> transport;
   PeerWork work;
   DemandSum demand;
   PeerMembers members;
   /// Revision up to which the members are those of the daemons' entries.
   StoreRevision entriesAt;
-  std::string dutyHolder;
+  std::string placementLeader;
   std::vector<std::string> seeds;
   /// When this daemon began; the store is asked for the configuration first.
   Instant startedAt;
@@ -174,7 +176,7 @@
   Instant nextGossip{};
   Instant nextDemand{};
   Instant nextQuestion{};
-  Instant nextReliance{};
+  Instant nextSyncQuery{};
   /// Hints are followed up again from then on.
   Instant nextHintTaken{};
   bool isGossipDue = false;
--- a/Zincstep/Edge/PeerAnswers.cpp
+++ b/Zincstep/Edge/PeerResponder.cpp
@@ -1,4 +1,4 @@
-#include "Zincstep/Edge/PeerAnswers.h"
+#include "Zincstep/Edge/PeerResponder.h"
 
 namespace zincstep {
 
@@ -17,16 +17,16 @@
 
 }  // namespace
 
-PeerAnswers::PeerAnswers(const ClusterView& aView, const Clock& aClock,
-                         double aLinkMbps)
+PeerResponder::PeerResponder(const ClusterView& aView, const Clock& aClock,
+                             double aLinkMbps)
     : view(aView),
       clock(aClock),
       listBytes(aLinkMbps * kBytesPerMbit * kListShare,
                 aLinkMbps * kBytesPerMbit * kListShare * kListBurstSeconds) {}
 
-const PackedList* PeerAnswers::Pack(PackedLists& aLists, StoreRevision aSince,
-                                    StoreRevision aAt,
-                                    std::optional<ListCopy>& aList) {
+const PackedList* PeerResponder::Pack(PackedLists& aLists, StoreRevision aSince,
+                                      StoreRevision aAt,
+                                      std::optional<ListUpdate>& aList) {
   if (const PackedList* packed = aLists.Find(aSince, aAt)) {
     return packed;
   }
@@ -38,7 +38,7 @@
   return packed;
 }
 
-bool PeerAnswers::MaySpend(std::size_t aBytes) {
+bool PeerResponder::MaySpend(std::size_t aBytes) {
   if (aBytes > 0 && this->listBytes.At(this->clock.Now()) <= 0) {
     return false;
   }
@@ -46,7 +46,7 @@
   return true;
 }
 
-ClusterGive PeerAnswers::To(const ClusterWant& aWant, std::uint64_t aEra) {
+ClusterGive PeerResponder::To(const ClusterWant& aWant, std::uint64_t aEra) {
   // The copy need not hold what is packed already.
   KnownRevisions known = aWant.known;
   const StoreRevision upstreamsAt = this->view.UpstreamsAt();
@@ -59,13 +59,13 @@
   }
   const bool lacksConfig = this->view.LacksConfigText(known);
   if (lacksConfig) {
-    known.config = this->view.ConfigFoundAt();
+    known.config = this->view.ConfigStoreRevision();
     known.configVersion = this->view.ConfigVersion();
   }
   ClusterGive give;
   give.era = aEra;
   give.question = aWant.question;
-  give.copy = this->view.CopyFor(known);
+  give.copy = this->view.UpdateFor(known);
   if (lacksConfig) {
     give.packedConfig = this->config.Of(this->view);
   }
@@ -90,7 +90,7 @@
   return give;
 }
 
-std::size_t PeerAnswers::Bytes() const {
+std::size_t PeerResponder::Bytes() const {
   return this->config.Bytes() + this->upstreams.Bytes() + this->daemons.Bytes();
 }
 
--- a/Zincstep/Edge/PeerAnswers.h
+++ b/Zincstep/Edge/PeerResponder.h
@@ -11,10 +11,11 @@
 ///
 /// What many ask for at once, the configuration and long lists, is packed once
 /// and held once. Whole lists fall under a budget of bytes.
-class PeerAnswers {
+class PeerResponder {
  public:
   /// `aLinkMbps`: this VM's link.
-  PeerAnswers(const ClusterView& aView, const Clock& aClock, double aLinkMbps);
+  PeerResponder(const ClusterView& aView, const Clock& aClock,
+                double aLinkMbps);
 
   /// The answer to a question, in the present era of the store. Whole lists are
   /// left out while the budget is spent: the asker has others to ask, and the
@@ -28,7 +29,7 @@
   /// place of `aList`. Null where that is short.
   static const PackedList* Pack(PackedLists& aLists, StoreRevision aSince,
                                 StoreRevision aAt,
-                                std::optional<ListCopy>& aList);
+                                std::optional<ListUpdate>& aList);
   /// Whether whole lists of so many bytes may be told, which then count.
   bool MaySpend(std::size_t aBytes);
 
--- a/Zincstep/Engine/EngineClient.h
+++ b/Zincstep/Engine/EngineClient.h
@@ -90,7 +90,7 @@
 };
 
 /// A client that gives the first stage the route and sees only tokens.
-std::unique_ptr<EngineClient> MakeHandOnEngineClient(HttpClient& aHttp,
-                                                     EngineListener& aListener);
+std::unique_ptr<EngineClient> MakeForwardingEngineClient(
+    HttpClient& aHttp, EngineListener& aListener);
 
 }  // namespace zincstep
--- a/Zincstep/Engine/HandOnEngineClient.cpp
+++ b/Zincstep/Engine/ForwardingEngineClient.cpp
@@ -37,9 +37,9 @@
 };
 
 /// Hands the route to the first stage; sees only tokens from then on.
-class HandOnEngineClient final : public EngineClient, HttpCallListener {
+class ForwardingEngineClient final : public EngineClient, HttpCallListener {
  public:
-  HandOnEngineClient(HttpClient& aHttp, EngineListener& aListener)
+  ForwardingEngineClient(HttpClient& aHttp, EngineListener& aListener)
       : http(aHttp), listener(aListener) {}
 
   void Start(EngineAttempt aAttempt) override {
@@ -242,9 +242,9 @@
 
 }  // namespace
 
-std::unique_ptr<EngineClient> MakeHandOnEngineClient(
+std::unique_ptr<EngineClient> MakeForwardingEngineClient(
     HttpClient& aHttp, EngineListener& aListener) {
-  return std::make_unique<HandOnEngineClient>(aHttp, aListener);
+  return std::make_unique<ForwardingEngineClient>(aHttp, aListener);
 }
 
 }  // namespace zincstep
--- a/Zincstep/Entry/CallerRequest.cpp
+++ b/Zincstep/Entry/CallerRequest.cpp
@@ -41,11 +41,10 @@
       std::from_chars(text.data(), text.data() + text.size(), millis);
   const bool whole =
       read.ec == std::errc() && read.ptr == text.data() + text.size();
-  if (!whole || millis <= 0 ||
-      millis > aLimits.longestDeadline.count() / 1000) {
+  if (!whole || millis <= 0 || millis > aLimits.maxDeadline.count() / 1000) {
     return Fail(ErrorKind::BadRequest,
                 "zincstep-deadline-ms: expected whole milliseconds up to " +
-                    std::to_string(aLimits.longestDeadline.count() / 1000));
+                    std::to_string(aLimits.maxDeadline.count() / 1000));
   }
   return Micros{millis * 1000};
 }
@@ -164,10 +163,10 @@
 
 }  // namespace
 
-Result<CallerFacts> ReadCallerFacts(const HttpRequest& aRequest,
-                                    const Snapshot& aSnapshot,
-                                    const CallerLimits& aLimits, Instant aNow,
-                                    Random& aRandom) {
+Result<CallerInfo> ReadCallerFacts(const HttpRequest& aRequest,
+                                   const Snapshot& aSnapshot,
+                                   const CallerLimits& aLimits, Instant aNow,
+                                   Random& aRandom) {
   const Result<const Organisation*> organisation =
       Authenticate(aRequest, aSnapshot);
   if (!organisation) {
@@ -181,7 +180,7 @@
   if (!priority) {
     return tl::unexpected(priority.error());
   }
-  CallerFacts facts;
+  CallerInfo facts;
   facts.organisation = *organisation;
   facts.priority = *priority;
   facts.deadline = aNow + *deadline;
--- a/Zincstep/Entry/CallerRequest.h
+++ b/Zincstep/Entry/CallerRequest.h
@@ -10,7 +10,7 @@
 namespace zincstep {
 
 /// What the headers of a request say, whatever it asks for.
-struct CallerFacts {
+struct CallerInfo {
   const Organisation* organisation = nullptr;
   /// Empty where the caller gave none.
   std::string idempotencyKey;
@@ -22,14 +22,14 @@
 /// Limits of what a caller may ask for.
 struct CallerLimits {
   Micros defaultDeadline{0};
-  Micros longestDeadline{0};
+  Micros maxDeadline{0};
 };
 
 /// Reads the headers; fails with the refusal that fits.
-Result<CallerFacts> ReadCallerFacts(const HttpRequest& aRequest,
-                                    const Snapshot& aSnapshot,
-                                    const CallerLimits& aLimits, Instant aNow,
-                                    Random& aRandom);
+Result<CallerInfo> ReadCallerFacts(const HttpRequest& aRequest,
+                                   const Snapshot& aSnapshot,
+                                   const CallerLimits& aLimits, Instant aNow,
+                                   Random& aRandom);
 
 /// A request for tokens of a model.
 struct CompletionRequest {
--- a/Zincstep/Entry/ClaimDesk.cpp
+++ b/Zincstep/Entry/ClaimCoordinator.cpp
@@ -1,4 +1,4 @@
-#include "Zincstep/Entry/ClaimDesk.h"
+#include "Zincstep/Entry/ClaimCoordinator.h"
 
 #include <set>
 
@@ -17,17 +17,17 @@
 
 }  // namespace
 
-ClaimDesk::ClaimDesk(EntryContext& aContext)
+ClaimCoordinator::ClaimCoordinator(EntryContext& aContext)
     : context(aContext), witness(WitnessSettings(aContext.settings)) {}
 
-std::string ClaimDesk::AddressOf(const std::string& aMember) const {
+std::string ClaimCoordinator::AddressOf(const std::string& aMember) const {
   const Member* member = this->context.members.Find(aMember);
   return member != nullptr ? member->peerAddress
                            : this->context.peers.AddressOfMember(aMember);
 }
 
-void ClaimDesk::Begin(std::uint64_t aRequest, const std::string& aKey,
-                      std::uint64_t aDigest, ClaimListener& aListener) {
+void ClaimCoordinator::Begin(std::uint64_t aRequest, const std::string& aKey,
+                             std::uint64_t aDigest, ClaimListener& aListener) {
   Claim claim;
   claim.key = aKey;
   claim.digest = aDigest;
@@ -46,7 +46,7 @@
   }
 }
 
-void ClaimDesk::Ask(std::uint64_t aRequest, const std::string& aMember) {
+void ClaimCoordinator::Ask(std::uint64_t aRequest, const std::string& aMember) {
   const auto found = this->rounds.find(aRequest);
   if (found == this->rounds.end()) {
     return;
@@ -55,8 +55,9 @@
                  ClaimOrderMessage::Step::Ask, aRequest);
 }
 
-void ClaimDesk::SendStep(const Claim& aClaim, const std::string& aMember,
-                         ClaimOrderMessage::Step aStep, std::uint64_t aRound) {
+void ClaimCoordinator::SendStep(const Claim& aClaim, const std::string& aMember,
+                                ClaimOrderMessage::Step aStep,
+                                std::uint64_t aRound) {
   if (aMember == this->context.member) {
     this->HandleOwn(aClaim, aStep, aRound);
     return;
@@ -74,8 +75,9 @@
   }
 }
 
-void ClaimDesk::HandleOwn(const Claim& aClaim, ClaimOrderMessage::Step aStep,
-                          std::uint64_t aRound) {
+void ClaimCoordinator::HandleOwn(const Claim& aClaim,
+                                 ClaimOrderMessage::Step aStep,
+                                 std::uint64_t aRound) {
   const Instant now = this->context.clock.Now();
   switch (aStep) {
     case ClaimOrderMessage::Step::Ask: {
@@ -92,8 +94,8 @@
   }
 }
 
-void ClaimDesk::OnOrder(const std::string& aReplyTo,
-                        const ClaimOrderMessage& aOrder) {
+void ClaimCoordinator::OnOrder(const std::string& aReplyTo,
+                               const ClaimOrderMessage& aOrder) {
   const Instant now = this->context.clock.Now();
   if (aOrder.step == ClaimOrderMessage::Step::Release) {
     this->witness.Release(aOrder.claim.key, aOrder.claim.claimant);
@@ -110,8 +112,9 @@
   this->context.Send(aReplyTo, ClaimVoteMessage{aOrder.round, vote});
 }
 
-void ClaimDesk::OnVote(const std::string& aSender, const std::string& aReplyTo,
-                       const ClaimVoteMessage& aVote) {
+void ClaimCoordinator::OnVote(const std::string& aSender,
+                              const std::string& aReplyTo,
+                              const ClaimVoteMessage& aVote) {
   const auto found = this->rounds.find(aVote.round);
   const bool isGrant = aVote.vote.kind == ClaimVote::Kind::Granted;
   if (found == this->rounds.end()) {
@@ -130,8 +133,8 @@
                                               this->context.clock.Now()));
 }
 
-void ClaimDesk::OnVerdict(std::uint64_t aRequest,
-                          std::optional<ClaimVerdict> aVerdict) {
+void ClaimCoordinator::OnVerdict(std::uint64_t aRequest,
+                                 std::optional<ClaimVerdict> aVerdict) {
   if (!aVerdict) {
     return;
   }
@@ -152,7 +155,7 @@
   round.listener->OnClaim(aRequest, *aVerdict, round.claim->Holder());
 }
 
-std::vector<std::string> ClaimDesk::WitnessMembers(
+std::vector<std::string> ClaimCoordinator::WitnessMembers(
     const std::string& aKey) const {
   std::set<std::string> members;
   for (const MemberList& list : this->context.members.lists) {
@@ -163,7 +166,7 @@
   return {members.begin(), members.end()};
 }
 
-void ClaimDesk::Release(std::uint64_t aRequest) {
+void ClaimCoordinator::Release(std::uint64_t aRequest) {
   const auto found = this->won.find(aRequest);
   if (found == this->won.end()) {
     return;
@@ -175,7 +178,8 @@
   }
 }
 
-void ClaimDesk::Finish(std::uint64_t aRequest, const KeptAnswer* aAnswer) {
+void ClaimCoordinator::Finish(std::uint64_t aRequest,
+                              const CachedResponse* aAnswer) {
   const auto found = this->won.find(aRequest);
   if (found == this->won.end()) {
     return;
@@ -186,7 +190,7 @@
   if (aAnswer != nullptr) {
     claim.answer = *aAnswer;
   }
-  if (claim.answer.body.size() > kKeptAnswerBytes) {
+  if (claim.answer.body.size() > kMaxCachedResponseBytes) {
     claim.answer.body.clear();
     claim.answer.isTruncated = true;
   }
@@ -195,7 +199,7 @@
   }
 }
 
-void ClaimDesk::OnTick(Instant aNow) {
+void ClaimCoordinator::OnTick(Instant aNow) {
   this->witness.Expire(aNow);
   std::vector<std::uint64_t> late;
   for (const auto& [request, round] : this->rounds) {
@@ -208,7 +212,7 @@
   }
 }
 
-bool ClaimDesk::HandOverTo(const PeerInfo* aPeer) {
+bool ClaimCoordinator::TransferClaimsTo(const PeerInfo* aPeer) {
   if (!this->handedTo.empty()) {
     return true;
   }
@@ -223,8 +227,8 @@
   return false;
 }
 
-void ClaimDesk::OnHandOver(const std::string& aReplyTo,
-                           const HandOverMessage& aMessage) {
+void ClaimCoordinator::OnHandOver(const std::string& aReplyTo,
+                                  const HandOverMessage& aMessage) {
   if (this->witness.IsClosed()) {
     return;
   }
@@ -232,6 +236,6 @@
   this->context.Send(aReplyTo, HandOverDoneMessage{aMessage.from});
 }
 
-void ClaimDesk::OnHandOverDone() { this->handedTo = this->successor; }
+void ClaimCoordinator::OnHandOverDone() { this->handedTo = this->successor; }
 
 }  // namespace zincstep
--- a/Zincstep/Entry/ClaimDesk.h
+++ b/Zincstep/Entry/ClaimCoordinator.h
@@ -14,15 +14,15 @@
   virtual ~ClaimListener() = default;
 
   /// The claim of request `aRequest` has ended; `aHolder` counts after
-  /// `Held` only.
+  /// `HeldByOther` only.
   virtual void OnClaim(std::uint64_t aRequest, ClaimVerdict aVerdict,
                        const Claim& aHolder) = 0;
 };
 
 /// Claims keys at their witnesses, and is a witness for others.
-class ClaimDesk {
+class ClaimCoordinator {
  public:
-  explicit ClaimDesk(EntryContext& aContext);
+  explicit ClaimCoordinator(EntryContext& aContext);
 
   /// Claims `aKey` for a request; the listener may be told at once.
   void Begin(std::uint64_t aRequest, const std::string& aKey,
@@ -30,7 +30,7 @@
   /// The request was certainly not run: frees its key.
   void Release(std::uint64_t aRequest);
   /// The request has ended; a null answer means that it may have run.
-  void Finish(std::uint64_t aRequest, const KeptAnswer* aAnswer);
+  void Finish(std::uint64_t aRequest, const CachedResponse* aAnswer);
 
   /// A peer asks something of this witness.
   void OnOrder(const std::string& aReplyTo, const ClaimOrderMessage& aOrder);
@@ -46,7 +46,7 @@
 
   /// Stops voting and sends the claims to `aPeer`; true once they are there
   /// or where there is nothing to hand over.
-  bool HandOverTo(const PeerInfo* aPeer);
+  bool TransferClaimsTo(const PeerInfo* aPeer);
   /// The member that has the claims, once handed over.
   const std::string& HandedTo() const { return this->handedTo; }
 
--- a/Zincstep/Entry/ClaimAnswer.cpp
+++ b/Zincstep/Entry/ClaimResponse.cpp
@@ -1,4 +1,4 @@
-#include "Zincstep/Entry/ClaimAnswer.h"
+#include "Zincstep/Entry/ClaimResponse.h"
 
 namespace zincstep {
 
@@ -9,7 +9,7 @@
   if (aVerdict == ClaimVerdict::Full) {
     return {ErrorKind::KeyMemoryFull, "no room to remember another key", {}};
   }
-  if (aVerdict != ClaimVerdict::Held) {
+  if (aVerdict != ClaimVerdict::HeldByOther) {
     return {ErrorKind::KeyInDoubt,
             "too few daemons could be asked whether the key was used",
             {}};
@@ -34,17 +34,17 @@
 
 }  // namespace
 
-void AnswerHeldClaim(EntryContext& aContext, ExchangeId aExchange,
-                     ClaimVerdict aVerdict, const Claim& aHolder,
-                     std::uint64_t aDigest) {
-  const bool repeats = aVerdict == ClaimVerdict::Held &&
+void RespondToHeldClaim(EntryContext& aContext, ExchangeId aExchange,
+                        ClaimVerdict aVerdict, const Claim& aHolder,
+                        std::uint64_t aDigest) {
+  const bool repeats = aVerdict == ClaimVerdict::HeldByOther &&
                        aHolder.state == ClaimState::Finished &&
                        aHolder.digest == aDigest && !aHolder.answer.isTruncated;
   if (!repeats) {
     aContext.Refuse(aExchange, RefusalOf(aVerdict, aHolder, aDigest));
     return;
   }
-  HttpAnswer answer;
+  HttpResponse answer;
   answer.status = aHolder.answer.status;
   answer.headers = {{"Content-Type", aHolder.answer.contentType},
                     {"zincstep-repeated", "true"}};
--- a/Zincstep/Entry/ConfigWatcher.h
+++ b/Zincstep/Entry/ConfigWatcher.h
@@ -54,8 +54,8 @@
   std::atomic<bool> stopping{false};
   std::atomic<std::int64_t> lastAnswer{0};
   std::uint64_t rootRevision = 0;
-  Doorbell watchBell;
-  Doorbell offerBell;
+  WakeEvent watchBell;
+  WakeEvent offerBell;
   Channel<ConfigGiveMessage> offers;
   /// Guards `known` and `revision`, which both threads use.
   std::mutex mutex;
--- a/Zincstep/Entry/Keeper.cpp
+++ b/Zincstep/Entry/DomainController.cpp
@@ -1,4 +1,4 @@
-#include "Zincstep/Entry/Keeper.h"
+#include "Zincstep/Entry/DomainController.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -21,8 +21,8 @@
 /// Longest flight of an order; shorter than the lease's margin.
 constexpr Micros kOrderTime = 1500ms;
 
-MemberKeeperSettings MemberSettings(const EntrySettings& aSettings) {
-  MemberKeeperSettings settings;
+MemberListPlannerSettings MemberSettings(const EntrySettings& aSettings) {
+  MemberListPlannerSettings settings;
   settings.interval = aSettings.memberListInterval;
   settings.shortInterval = std::min<Micros>(3s, aSettings.memberListInterval);
   return settings;
@@ -30,9 +30,10 @@
 
 }  // namespace
 
-Keeper::Keeper(const EntrySettings& aSettings, std::string aMember,
-               KeyValueStore& aStore, VmList& aVms, const Clock& aClock,
-               Sink aSink)
+DomainController::DomainController(const EntrySettings& aSettings,
+                                   std::string aMember, KeyValueStore& aStore,
+                                   VmList& aVms, const Clock& aClock,
+                                   Sink aSink)
     : settings(aSettings),
       member(std::move(aMember)),
       store(aStore),
@@ -42,23 +43,25 @@
       inputs(kInputs, this->doorbell),
       startedAt(aClock.Now()),
       guard(LeaseGuardSettings{aSettings.leaseTtl, aSettings.leaseTtl / 3}),
-      memberKeeper(MemberSettings(aSettings)),
+      memberListPlanner(MemberSettings(aSettings)),
       reconciler(ReconcilerSettings{}),
       thread([this] { this->Loop(); }) {}
 
-Keeper::~Keeper() {
+DomainController::~DomainController() {
   this->stopping = true;
   this->doorbell.Ring();
   this->thread.join();
 }
 
-void Keeper::Tell(KeeperInput aInput) { this->inputs.Push(std::move(aInput)); }
+void DomainController::Tell(DomainControllerInput aInput) {
+  this->inputs.Push(std::move(aInput));
+}
 
-std::string Keeper::DutyKey() const {
+std::string DomainController::LeadershipKey() const {
   return "duty/" + this->settings.failureDomain;
 }
 
-void Keeper::Loop() {
+void DomainController::Loop() {
   while (!this->stopping) {
     this->doorbell.Wait(kStep);
     while (auto next = this->inputs.Pop()) {
@@ -66,21 +69,21 @@
     }
     this->StepAll();
   }
-  this->GiveUpDuty();
+  this->ResignLeadership();
 }
 
-void Keeper::StepAll() {
+void DomainController::StepAll() {
   const Instant now = this->clock.Now();
   this->ReadVms(now);
   if (this->input == nullptr) {
     return;
   }
-  this->KeepLease(this->clock.Now());
-  const bool acts = this->guard.MayAct(this->clock.Now());
-  this->report.hasDuty = acts;
+  this->MaintainLease(this->clock.Now());
+  const bool acts = this->guard.MayIssueOrders(this->clock.Now());
+  this->report.isLeader = acts;
   this->report.fence = this->guard.Fence();
   if (acts) {
-    this->KeepMembers(this->clock.Now());
+    this->UpdateMemberLists(this->clock.Now());
     this->Reconcile(this->clock.Now());
     this->WriteStatus(this->clock.Now());
   } else {
@@ -90,7 +93,7 @@
   }
 }
 
-void Keeper::ReadVms(Instant aNow) {
+void DomainController::ReadVms(Instant aNow) {
   if (aNow < this->nextVms) {
     return;
   }
@@ -111,24 +114,24 @@
   this->report.vms.reset();
 }
 
-void Keeper::KeepLease(Instant aNow) {
+void DomainController::MaintainLease(Instant aNow) {
   if (this->input->isStopping) {
-    this->GiveUpDuty();
+    this->ResignLeadership();
     return;
   }
   if (this->guard.IsHeld(aNow)) {
     if (aNow >= this->guard.RenewAt()) {
-      this->RenewDuty();
+      this->RenewLeadership();
     }
     return;
   }
-  if (aNow >= this->nextDuty && this->input->snapshot != nullptr) {
-    this->nextDuty = aNow + kDutyInterval;
-    this->TakeDuty(aNow);
+  if (aNow >= this->nextLeadershipStep && this->input->snapshot != nullptr) {
+    this->nextLeadershipStep = aNow + kDutyInterval;
+    this->AcquireLeadership(aNow);
   }
 }
 
-void Keeper::RenewDuty() {
+void DomainController::RenewLeadership() {
   const Instant sentAt = this->clock.Now();
   const Result<void> renewed = this->store.RenewLease(this->lease);
   if (renewed) {
@@ -139,8 +142,8 @@
   }
 }
 
-void Keeper::TakeDuty(Instant aNow) {
-  const auto holder = this->store.Get(this->DutyKey());
+void DomainController::AcquireLeadership(Instant aNow) {
+  const auto holder = this->store.Get(this->LeadershipKey());
   if (!holder || *holder) {
     return;
   }
@@ -149,12 +152,12 @@
     return;
   }
   this->lease = *granted;
-  const auto swapped =
-      this->store.CompareAndSwap(this->DutyKey(), 0, this->member, this->lease);
+  const auto swapped = this->store.CompareAndSwap(this->LeadershipKey(), 0,
+                                                  this->member, this->lease);
   std::uint64_t fence = swapped && *swapped ? **swapped : 0;
   if (!swapped) {
     // The answer was lost: the store says whose the duty is.
-    const auto now = this->store.Get(this->DutyKey());
+    const auto now = this->store.Get(this->LeadershipKey());
     const bool mine = now && *now && (*now)->value == this->member;
     fence = mine ? (*now)->revision : 0;
   }
@@ -163,22 +166,23 @@
   }
   // Counted from before the grant: never later than the service counts.
   this->guard.OnTaken(fence, aNow);
-  this->dutySince = aNow;
+  this->leaderSince = aNow;
   LogInfo("duty_taken",
           {{"domain", this->settings.failureDomain}, {"fence", fence}});
 }
 
-void Keeper::GiveUpDuty() {
+void DomainController::ResignLeadership() {
   if (!this->guard.IsHeld(this->clock.Now())) {
     return;
   }
   this->guard.OnLost();
-  (void)this->store.Remove(this->DutyKey(), this->guard.Fence());
+  (void)this->store.Remove(this->LeadershipKey(), this->guard.Fence());
 }
 
 /// Members whose process certainly runs no more: their VM has gone from
 /// the list, or another incarnation is heard on it.
-std::vector<std::string> Keeper::GoneMembers(const MemberLists& aLists) const {
+std::vector<std::string> DomainController::GoneMembers(
+    const MemberLists& aLists) const {
   std::vector<std::string> gone;
   if (!this->hasVmList || aLists.lists.empty()) {
     return gone;
@@ -199,7 +203,7 @@
   return gone;
 }
 
-void Keeper::KeepMembers(Instant aNow) {
+void DomainController::UpdateMemberLists(Instant aNow) {
   if (aNow < this->nextMembers ||
       aNow - this->startedAt < this->settings.settle) {
     return;
@@ -219,7 +223,7 @@
     }
     lists = std::move(*read);
   }
-  const MemberLists next = this->memberKeeper.Next(
+  const MemberLists next = this->memberListPlanner.Next(
       lists, this->settings.failureDomain, this->input->live,
       this->GoneMembers(lists), this->input->handedTo, aNow);
   const bool changed = next.version != lists.version;
@@ -240,7 +244,7 @@
   this->report.members.reset();
 }
 
-void Keeper::Reconcile(Instant aNow) {
+void DomainController::Reconcile(Instant aNow) {
   if (aNow < this->nextReconcile) {
     return;
   }
@@ -259,7 +263,7 @@
   }
 }
 
-void Keeper::SendOrder(const LoadOrder& aOrder) {
+void DomainController::SendOrder(const LoadOrder& aOrder) {
   const auto state = std::find_if(
       this->input->upstreams.begin(), this->input->upstreams.end(),
       [&](const UpstreamState& aOne) { return aOne.name == aOrder.upstream; });
@@ -268,8 +272,8 @@
   // holder: by now that one's lease and its longest flight are over.
   const bool waitsOut =
       state != this->input->upstreams.end() && !state->checksFence &&
-      now - this->dutySince < this->settings.leaseTtl + kOrderTime;
-  if (waitsOut || !this->guard.MayAct(now)) {
+      now - this->leaderSince < this->settings.leaseTtl + kOrderTime;
+  if (waitsOut || !this->guard.MayIssueOrders(now)) {
     return;
   }
   HttpCall call;
@@ -282,14 +286,14 @@
                              {"version", aOrder.version},
                              {"expected_version", aOrder.expectedVersion}}
                   .dump();
-  const HttpCallResult result = FetchNow(call);
+  const HttpCallResult result = FetchBlocking(call);
   LogInfo("order_sent", {{"upstream", aOrder.upstream},
                          {"version", aOrder.version},
                          {"fence", this->guard.Fence()},
                          {"status", result.status}});
 }
 
-void Keeper::WriteStatus(Instant aNow) {
+void DomainController::WriteStatus(Instant aNow) {
   if (aNow < this->nextStatus) {
     return;
   }
@@ -303,7 +307,7 @@
   // Times alone are no news; they are written with the next change.
   DomainStatus timeless = status;
   for (DaemonStatus& daemon : timeless.daemons) {
-    daemon.heardAt = 0;
+    daemon.lastSeenAt = 0;
   }
   const std::string text = WriteDomainStatus(timeless);
   if (text == this->lastStatus) {
--- a/Zincstep/Entry/Keeper.h
+++ b/Zincstep/Entry/DomainController.h
@@ -14,7 +14,7 @@
 namespace zincstep {
 
 /// What the router tells the keeper, about once a second.
-struct KeeperInput {
+struct DomainControllerInput {
   SnapshotPtr snapshot;
   /// Entry daemons of this domain that are heard, this one included.
   std::vector<Member> live;
@@ -27,12 +27,12 @@
 };
 
 /// What the keeper tells the router.
-struct KeeperReport {
+struct DomainControllerReport {
   std::optional<std::vector<VmEntry>> vms;
   std::optional<MemberLists> members;
   /// Upstreams to pause; set while this daemon has the control duty.
   std::optional<std::vector<std::string>> paused;
-  bool hasDuty = false;
+  bool isLeader = false;
   std::uint64_t fence = 0;
   std::map<std::string, std::string> stuck;
   /// Whether the platform has answered of late.
@@ -44,34 +44,35 @@
 /// Any daemon may have its domain's duty, by a lease of the key-value
 /// service. The holder keeps the member lists, writes the domain's status,
 /// and brings upstreams to their declared versions by fenced orders.
-class Keeper {
+class DomainController {
  public:
-  using Sink = std::function<void(KeeperReport)>;
+  using Sink = std::function<void(DomainControllerReport)>;
 
-  Keeper(const EntrySettings& aSettings, std::string aMember,
-         KeyValueStore& aStore, VmList& aVms, const Clock& aClock, Sink aSink);
-  ~Keeper();
+  DomainController(const EntrySettings& aSettings, std::string aMember,
+                   KeyValueStore& aStore, VmList& aVms, const Clock& aClock,
+                   Sink aSink);
+  ~DomainController();
 
-  Keeper(const Keeper&) = delete;
-  Keeper& operator=(const Keeper&) = delete;
+  DomainController(const DomainController&) = delete;
+  DomainController& operator=(const DomainController&) = delete;
 
   /// Takes the router's view.
-  void Tell(KeeperInput aInput);
+  void Tell(DomainControllerInput aInput);
 
  private:
   void Loop();
   void StepAll();
   void ReadVms(Instant aNow);
-  void KeepLease(Instant aNow);
-  void TakeDuty(Instant aNow);
-  void RenewDuty();
-  void GiveUpDuty();
-  void KeepMembers(Instant aNow);
+  void MaintainLease(Instant aNow);
+  void AcquireLeadership(Instant aNow);
+  void RenewLeadership();
+  void ResignLeadership();
+  void UpdateMemberLists(Instant aNow);
   void Reconcile(Instant aNow);
   void SendOrder(const LoadOrder& aOrder);
   void WriteStatus(Instant aNow);
   std::vector<std::string> GoneMembers(const MemberLists& aLists) const;
-  std::string DutyKey() const;
+  std::string LeadershipKey() const;
 
   const EntrySettings& settings;
   std::string member;
@@ -79,23 +80,23 @@
   VmList& vmList;
   const Clock& clock;
   Sink sink;
-  Doorbell doorbell;
-  Channel<KeeperInput> inputs;
+  WakeEvent doorbell;
+  Channel<DomainControllerInput> inputs;
   std::atomic<bool> stopping{false};
-  std::unique_ptr<KeeperInput> input;
-  KeeperReport report;
+  std::unique_ptr<DomainControllerInput> input;
+  DomainControllerReport report;
   std::set<std::string> listedVms;
   bool hasVmList = false;
   Instant nextVms;
-  Instant nextDuty;
+  Instant nextLeadershipStep;
   Instant nextMembers;
   Instant nextReconcile;
   Instant nextStatus;
   Instant startedAt;
-  Instant dutySince;
+  Instant leaderSince;
   LeaseGuard guard;
   LeaseId lease = 0;
-  MemberKeeper memberKeeper;
+  MemberListPlanner memberListPlanner;
   Reconciler reconciler;
   std::string lastStatus;
   std::uint64_t statusRevision = 0;
--- a/Zincstep/Entry/EntryContext.h
+++ b/Zincstep/Entry/EntryContext.h
@@ -24,13 +24,13 @@
   HttpClient& calls;
   HttpCallListener& callListener;
   EngineClient& engines;
-  PeerHub& hub;
+  PeerTransport& transport;
   Tracer& tracer;
   Metrics metrics;
   /// This process' name among the members: VM and incarnation.
   std::string member;
   PeerTable peers;
-  UpstreamRoster roster;
+  LeavingUpstreams roster;
   DomainLimit limits;
   SnapshotPtr snapshot;
   /// The agreed lists of members, newest first.
@@ -39,23 +39,23 @@
 
   /// Sends a message to a peer.
   void Send(const std::string& aPeerAddress, PeerBody aBody) {
-    this->hub.Send(aPeerAddress,
-                   WritePeerMessage({this->member, this->settings.peerListen,
-                                     std::move(aBody)}));
+    this->transport.Send(
+        aPeerAddress, WritePeerMessage({this->member, this->settings.peerListen,
+                                        std::move(aBody)}));
   }
 
   /// Refuses a request of a caller and counts it.
   void Refuse(ExchangeId aExchange, const Error& aError) {
-    const ErrorAnswer& row = AnswerFor(aError.kind);
+    const ErrorInfo& row = ErrorInfoFor(aError.kind);
     this->metrics.Count("zincstep_refusals_total",
                         {{"kind", std::string(row.name)}});
-    this->callers.Respond(aExchange, RefusalAnswer(aError));
+    this->callers.Respond(aExchange, ErrorResponse(aError));
   }
 };
 
 /// Limits of deadlines, from the settings.
 inline CallerLimits LimitsOf(const EntrySettings& aSettings) {
-  return {aSettings.defaultDeadline, aSettings.longestDeadline};
+  return {aSettings.defaultDeadline, aSettings.maxDeadline};
 }
 
 }  // namespace zincstep
--- a/Zincstep/Entry/EntryDaemon.cpp
+++ b/Zincstep/Entry/EntryDaemon.cpp
@@ -90,8 +90,8 @@
   void OnRequest(HttpRequest aRequest) override {
     this->sink.Put(CallerRequestEvent{std::move(aRequest)});
   }
-  void OnCallerGone(ExchangeId aExchange) override {
-    this->sink.Put(CallerGoneEvent{aExchange});
+  void OnCallerDisconnected(ExchangeId aExchange) override {
+    this->sink.Put(CallerDisconnectedEvent{aExchange});
   }
 
  private:
@@ -106,7 +106,7 @@
   void OnRequest(HttpRequest aRequest) override {
     this->sink.Put(AdminRequestEvent{std::move(aRequest)});
   }
-  void OnCallerGone(ExchangeId) override {}
+  void OnCallerDisconnected(ExchangeId) override {}
 
  private:
   EventSink& sink;
@@ -161,12 +161,13 @@
     this->admin = MakeHttpServer(
         ServerSettings(this->settings, this->settings.adminListen),
         this->adminFront);
-    PeerHubSettings hubSettings;
+    PeerTransportSettings hubSettings;
     hubSettings.listen = this->settings.peerListen;
     hubSettings.seed = this->seed + 1;
-    this->hub = MakePeerHub(hubSettings, this->listeners);
+    this->transport = MakePeerTransport(hubSettings, this->listeners);
     for (const Result<void>& started :
-         {this->hub->Start(), this->admin->Start(), this->callers->Start()}) {
+         {this->transport->Start(), this->admin->Start(),
+          this->callers->Start()}) {
       if (!started) {
         return started;
       }
@@ -174,7 +175,7 @@
     EntrySettings& own = this->settings;
     own.listen = WithPort(own.listen, this->callers->Port());
     own.adminListen = WithPort(own.adminListen, this->admin->Port());
-    own.peerListen = WithPort(own.peerListen, this->hub->Port());
+    own.peerListen = WithPort(own.peerListen, this->transport->Port());
     return {};
   }
 
@@ -182,13 +183,13 @@
     this->store = MakeHttpKeyValueStore(PlatformOf(this->settings));
     this->vms = MakeHttpVmList(PlatformOf(this->settings));
     this->http = MakeHttpClient();
-    this->engines = MakeHandOnEngineClient(*this->http, this->listeners);
+    this->engines = MakeForwardingEngineClient(*this->http, this->listeners);
     this->context.reset(new EntryContext{
         this->settings, this->clock, Random(this->seed + 3), *this->callers,
-        *this->admin, *this->http, this->listeners, *this->engines, *this->hub,
-        this->tracer, Metrics{}, this->member,
+        *this->admin, *this->http, this->listeners, *this->engines,
+        *this->transport, this->tracer, Metrics{}, this->member,
         PeerTable(this->settings.vm, this->settings.failureDomain, {}),
-        UpstreamRoster{}, DomainLimit({}), nullptr, MemberLists{}});
+        LeavingUpstreams{}, DomainLimit({}), nullptr, MemberLists{}});
     this->plans = std::make_unique<PlanWorker>([this](PlanResult aResult) {
       this->sink.Put(PlanEvent{std::move(aResult)});
     });
@@ -197,14 +198,14 @@
         [this](SnapshotPtr aSnapshot) {
           this->sink.Put(SnapshotEvent{std::move(aSnapshot)});
         });
-    this->keeper = std::make_unique<Keeper>(
+    this->controller = std::make_unique<DomainController>(
         this->settings, this->member, *this->store, *this->vms, this->clock,
-        [this](KeeperReport aReport) {
-          this->sink.Put(KeeperEvent{std::move(aReport)});
+        [this](DomainControllerReport aReport) {
+          this->sink.Put(DomainControllerEvent{std::move(aReport)});
         });
     this->router = std::make_unique<Router>(
         *this->context, this->events, this->doorbell,
-        RouterWorkers{*this->plans, *this->watcher, *this->keeper});
+        RouterWorkers{*this->plans, *this->watcher, *this->controller});
     this->routerThread = std::thread([this] { this->router->Run(); });
   }
 
@@ -213,7 +214,7 @@
   std::uint64_t seed;
   Random random;
   std::string member;
-  Doorbell doorbell;
+  WakeEvent doorbell;
   Channel<RouterEvent> events;
   EventSink sink;
   Listeners listeners;
@@ -222,14 +223,14 @@
   Tracer tracer;
   std::unique_ptr<HttpServer> callers;
   std::unique_ptr<HttpServer> admin;
-  std::unique_ptr<PeerHub> hub;
+  std::unique_ptr<PeerTransport> transport;
   std::unique_ptr<KeyValueStore> store;
   std::unique_ptr<VmList> vms;
   std::unique_ptr<EngineClient> engines;
   std::unique_ptr<EntryContext> context;
   std::unique_ptr<PlanWorker> plans;
   std::unique_ptr<ConfigWatcher> watcher;
-  std::unique_ptr<Keeper> keeper;
+  std::unique_ptr<DomainController> controller;
   std::unique_ptr<Router> router;
   /// After the engine client in this list, so that it ends first: it calls
   /// the engine client's listener until its thread has ended.
@@ -269,13 +270,13 @@
   std::this_thread::sleep_for(kLastWrites);
   this->parts->callers->Stop();
   this->parts->admin->Stop();
-  this->parts->hub->Stop();
+  this->parts->transport->Stop();
 }
 
 void EntryDaemon::Abandon() {
   if (this->parts->routerThread.joinable()) {
     this->parts->callers->Stop();
-    this->parts->hub->Stop();
+    this->parts->transport->Stop();
     this->parts->sink.Put(AbandonEvent{});
     this->Wait();
   }
--- a/Zincstep/Entry/EntrySettings.cpp
+++ b/Zincstep/Entry/EntrySettings.cpp
@@ -29,9 +29,9 @@
                 "Time in which a request must have come whole");
   reader.Millis("default-deadline-ms", settings.defaultDeadline, 100, 300000,
                 "Deadline of requests that name none");
-  reader.Millis("longest-deadline-ms", settings.longestDeadline, 100, 300000,
+  reader.Millis("longest-deadline-ms", settings.maxDeadline, 100, 300000,
                 "Longest deadline that a request may name");
-  reader.Millis("longest-wait-ms", settings.longestWait, 1, 60000,
+  reader.Millis("longest-wait-ms", settings.maxWait, 1, 60000,
                 "Longest expected wait before a request is refused");
   reader.Millis("drain-grace-ms", settings.drainGrace, 0, 600000,
                 "Time after SIGTERM in which requests are still taken");
--- a/Zincstep/Entry/EntrySettings.h
+++ b/Zincstep/Entry/EntrySettings.h
@@ -21,8 +21,8 @@
   std::int64_t maxConnections = 4096;
   Micros readTimeout = 10s;
   Micros defaultDeadline = 120s;
-  Micros longestDeadline = 300s;
-  Micros longestWait = 1500ms;
+  Micros maxDeadline = 300s;
+  Micros maxWait = 1500ms;
   /// Time after SIGTERM in which requests are still taken, until the
   /// balancer has noticed that the daemon is not ready.
   Micros drainGrace = 5s;
--- a/Zincstep/Entry/ModelAdmission.cpp
+++ b/Zincstep/Entry/ModelAdmission.cpp
@@ -17,7 +17,7 @@
 
 FairQueueSettings QueueSettings(const EntrySettings& aSettings) {
   FairQueueSettings settings;
-  settings.longestWait = aSettings.longestWait;
+  settings.maxWait = aSettings.maxWait;
   return settings;
 }
 
@@ -54,13 +54,13 @@
 
 }  // namespace
 
-FairQueue& ModelDesk::QueueOf(const Request& aRequest) {
+FairQueue& ModelHandler::QueueOf(const Request& aRequest) {
   return this->queues
       .try_emplace(aRequest.model->name, QueueSettings(this->context.settings))
       .first->second;
 }
 
-std::size_t ModelDesk::Waiting() const {
+std::size_t ModelHandler::Waiting() const {
   std::size_t waiting = 0;
   for (const auto& [model, queue] : this->queues) {
     waiting += queue.Waiting();
@@ -68,8 +68,8 @@
   return waiting;
 }
 
-void ModelDesk::OnClaim(std::uint64_t aRequest, ClaimVerdict aVerdict,
-                        const Claim& aHolder) {
+void ModelHandler::OnClaim(std::uint64_t aRequest, ClaimVerdict aVerdict,
+                           const Claim& aHolder) {
   Request* request = this->Find(aRequest);
   if (request == nullptr) {
     // The caller went while the witnesses were asked.
@@ -81,13 +81,13 @@
     return;
   }
   request->isKeyed = false;
-  AnswerHeldClaim(this->context, request->exchange, aVerdict, aHolder,
-                  request->digest);
+  RespondToHeldClaim(this->context, request->exchange, aVerdict, aHolder,
+                     request->digest);
   this->EndSpan(*request, "held");
   this->Remove(aRequest);
 }
 
-void ModelDesk::Admit(Request& aRequest) {
+void ModelHandler::Admit(Request& aRequest) {
   const Instant now = this->context.clock.Now();
   const Organisation& organisation = *aRequest.facts.organisation;
   const Result<const Model*> model =
@@ -139,7 +139,7 @@
   aRequest.isWaiting = true;
 }
 
-void ModelDesk::SetVersion(Request& aRequest, const std::string& aVersion) {
+void ModelHandler::SetVersion(Request& aRequest, const std::string& aVersion) {
   aRequest.version = aVersion;
   aRequest.planner = this->pool.Planner(aRequest.model->name, aVersion);
   aRequest.prefixHashes = PrefixHashes(
@@ -150,8 +150,8 @@
 
 /// A chain in the request's version, or else in another one that runs: while
 /// a version rolls, its last upstream may be paused before the next plan.
-Result<Choice> ModelDesk::ChooseChain(Request& aRequest) {
-  ChoiceFacts facts;
+Result<Choice> ModelHandler::ChooseChain(Request& aRequest) {
+  ChainChoiceInput facts;
   facts.now = this->context.clock.Now();
   facts.promptTokens = static_cast<int>(aRequest.promptTokens);
   facts.prefixHashes = aRequest.prefixHashes;
@@ -169,7 +169,7 @@
   return choice;
 }
 
-bool ModelDesk::TryStart(Request& aRequest) {
+bool ModelHandler::TryStart(Request& aRequest) {
   const Result<Choice> choice = this->ChooseChain(aRequest);
   if (!choice) {
     this->RefuseWaiting(aRequest, choice.error());
@@ -187,7 +187,7 @@
 }
 
 /// Whether a request may begin though its chain's window is full.
-bool ModelDesk::MayOverfill(const Request& aRequest) {
+bool ModelHandler::MayOverfill(const Request& aRequest) {
   const Organisation& organisation = *aRequest.facts.organisation;
   const double most = kOverfill * aRequest.planner->OwnWindow();
   return aRequest.planner->InFlight() + 1 <= most &&
@@ -195,7 +195,7 @@
                                               organisation.weight);
 }
 
-void ModelDesk::StartWaiting(FairQueue& aQueue, Instant aNow) {
+void ModelHandler::StartWaiting(FairQueue& aQueue, Instant aNow) {
   while (const std::optional<QueuedRequest> next = aQueue.Peek(aNow)) {
     Request* request = this->Find(next->id);
     ZINCSTEP_ASSERT(request != nullptr);
@@ -206,8 +206,8 @@
   }
 }
 
-void ModelDesk::RefuseExpired(FairQueue& aQueue, Instant aNow) {
-  for (const QueuedRequest& late : aQueue.TakeExpired(aNow)) {
+void ModelHandler::RefuseExpired(FairQueue& aQueue, Instant aNow) {
+  for (const QueuedRequest& late : aQueue.PopExpired(aNow)) {
     Request* request = this->Find(late.id);
     ZINCSTEP_ASSERT(request != nullptr);
     const bool deadline = request->facts.deadline <= aNow;
--- a/Zincstep/Entry/ModelDesk.cpp
+++ b/Zincstep/Entry/ModelHandler.cpp
@@ -1,4 +1,4 @@
-#include "Zincstep/Entry/ModelDesk.h"
+#include "Zincstep/Entry/ModelHandler.h"
 
 #include <algorithm>
 
@@ -19,24 +19,24 @@
 
 }  // namespace
 
-ModelDesk::ModelDesk(EntryContext& aContext, ClaimDesk& aClaims,
-                     ModelPool& aPool)
+ModelHandler::ModelHandler(EntryContext& aContext, ClaimCoordinator& aClaims,
+                           ModelPool& aPool)
     : context(aContext),
       claims(aClaims),
       pool(aPool),
       lastRequest(aContext.random.Below(kFirstRequestSpread)),
       routes(kKeptRoutes) {}
 
-ModelDesk::~ModelDesk() = default;
+ModelHandler::~ModelHandler() = default;
 
-ModelDesk::Request* ModelDesk::Find(std::uint64_t aRequest) {
+ModelHandler::Request* ModelHandler::Find(std::uint64_t aRequest) {
   const auto found = this->requests.find(aRequest);
   return found == this->requests.end() || found->second->isOver
              ? nullptr
              : found->second.get();
 }
 
-void ModelDesk::Remove(std::uint64_t aRequest) {
+void ModelHandler::Remove(std::uint64_t aRequest) {
   const auto found = this->requests.find(aRequest);
   if (found == this->requests.end() || found->second->isOver) {
     return;
@@ -47,8 +47,8 @@
   this->over.push_back(aRequest);
 }
 
-void ModelDesk::OnModelList(const HttpRequest& aRequest) {
-  const Result<CallerFacts> facts = ReadCallerFacts(
+void ModelHandler::OnModelList(const HttpRequest& aRequest) {
+  const Result<CallerInfo> facts = ReadCallerFacts(
       aRequest, *this->context.snapshot, LimitsOf(this->context.settings),
       this->context.clock.Now(), this->context.random);
   if (!facts) {
@@ -56,15 +56,15 @@
     return;
   }
   this->context.callers.Respond(
-      aRequest.exchange,
-      JsonAnswer(ModelListText(*this->context.snapshot, *facts->organisation)));
+      aRequest.exchange, JsonResponse(ModelListText(*this->context.snapshot,
+                                                    *facts->organisation)));
 }
 
-void ModelDesk::OnRequest(const HttpRequest& aRequest, bool aIsChat) {
+void ModelHandler::OnRequest(const HttpRequest& aRequest, bool aIsChat) {
   const Instant now = this->context.clock.Now();
-  Result<CallerFacts> facts = ReadCallerFacts(aRequest, *this->context.snapshot,
-                                              LimitsOf(this->context.settings),
-                                              now, this->context.random);
+  Result<CallerInfo> facts = ReadCallerFacts(aRequest, *this->context.snapshot,
+                                             LimitsOf(this->context.settings),
+                                             now, this->context.random);
   if (!facts) {
     this->context.Refuse(aRequest.exchange, facts.error());
     return;
@@ -99,7 +99,7 @@
   this->Admit(request);
 }
 
-void ModelDesk::Start(Request& aRequest, const Choice& aChoice) {
+void ModelHandler::Start(Request& aRequest, const Choice& aChoice) {
   const Instant now = this->context.clock.Now();
   const Organisation& organisation = *aRequest.facts.organisation;
   aRequest.isWaiting = false;
@@ -124,21 +124,21 @@
   this->Carry(aRequest, aRequest.machine->Start(aChoice.chain, now));
 }
 
-void ModelDesk::EndCharge(Request& aRequest) {
+void ModelHandler::EndCharge(Request& aRequest) {
   const double tokens = aRequest.machine->Ledger().NextPosition();
   this->QueueOf(aRequest).OnEnd(aRequest.facts.organisation->name,
                                 aRequest.ExpectedCharge(),
                                 {aRequest.promptTokens, tokens});
 }
 
-void ModelDesk::LeaveChain(Request& aRequest) {
+void ModelHandler::LeaveChain(Request& aRequest) {
   if (aRequest.heldChain) {
     aRequest.planner->OnEnd(*aRequest.heldChain);
     aRequest.heldChain.reset();
   }
 }
 
-void ModelDesk::Carry(Request& aRequest, const StreamActions& aActions) {
+void ModelHandler::Carry(Request& aRequest, const StreamActions& aActions) {
   for (const StreamAction& action : aActions) {
     if (const auto* start = std::get_if<StartAttempt>(&action)) {
       this->StartAttemptOf(aRequest, *start);
@@ -164,7 +164,8 @@
   }
 }
 
-void ModelDesk::StartAttemptOf(Request& aRequest, const StartAttempt& aAction) {
+void ModelHandler::StartAttemptOf(Request& aRequest,
+                                  const StartAttempt& aAction) {
   const Instant now = this->context.clock.Now();
   this->LeaveChain(aRequest);
   aRequest.planner->OnStart(aAction.chain);
@@ -215,7 +216,7 @@
   this->context.engines.Start(std::move(attempt));
 }
 
-void ModelDesk::ReleaseOn(Request& aRequest, const ReleaseStages& aAction) {
+void ModelHandler::ReleaseOn(Request& aRequest, const ReleaseStages& aAction) {
   const auto& replicas = aRequest.planner->GetFleet().replicas;
   for (const int replica : aAction.replicas) {
     this->context.engines.Release(
@@ -224,7 +225,8 @@
   }
 }
 
-void ModelDesk::ProbeStagesOf(Request& aRequest, const ProbeStages& aAction) {
+void ModelHandler::ProbeStagesOf(Request& aRequest,
+                                 const ProbeStages& aAction) {
   const auto& replicas = aRequest.planner->GetFleet().replicas;
   std::vector<std::string> addresses;
   for (const ChainHop& hop : aAction.chain.hops) {
@@ -234,7 +236,7 @@
   this->context.engines.Probe(aRequest.id, aAction.attempt, addresses);
 }
 
-void ModelDesk::Emit(Request& aRequest, const EmitToken& aAction) {
+void ModelHandler::Emit(Request& aRequest, const EmitToken& aAction) {
   const Instant now = this->context.clock.Now();
   const Organisation& organisation = *aRequest.facts.organisation;
   const bool isFirst = aAction.position == 0;
@@ -260,7 +262,7 @@
       aRequest.exchange, TokenEventText(aRequest.head, aAction.text, isFirst));
 }
 
-void ModelDesk::Finish(Request& aRequest, const FinishStream& aAction) {
+void ModelHandler::Finish(Request& aRequest, const FinishStream& aAction) {
   const int tokens = aRequest.machine->Ledger().NextPosition();
   const std::string whole =
       WholeAnswerText(aRequest.head, aRequest.text, aAction.reason,
@@ -271,12 +273,12 @@
                                               aRequest.countedPrompt, tokens));
     this->context.callers.Finish(aRequest.exchange);
   } else {
-    HttpAnswer answer = JsonAnswer(whole);
+    HttpResponse answer = JsonResponse(whole);
     answer.headers.push_back({"zincstep-request-id", aRequest.head.id});
     this->context.callers.Respond(aRequest.exchange, std::move(answer));
   }
   if (aRequest.isKeyed) {
-    const KeptAnswer kept{200, "application/json", whole, false};
+    const CachedResponse kept{200, "application/json", whole, false};
     this->claims.Finish(aRequest.id, &kept);
   }
   if (aRequest.heldChain) {
@@ -291,11 +293,11 @@
   this->Remove(aRequest.id);
 }
 
-bool ModelDesk::StartAnew(Request& aRequest, const FailStream& aAction) {
+bool ModelHandler::StartAnew(Request& aRequest, const FailStream& aAction) {
   // Without a token nothing of the answer stands: the request may begin
   // again, perhaps in another version, whose upstreams were not lost.
   const bool may = aAction.tokens == 0 && aRequest.starts < kMostStarts &&
-                   aAction.error.kind == ErrorKind::AnswerIncomplete;
+                   aAction.error.kind == ErrorKind::ResponseIncomplete;
   if (!may) {
     return false;
   }
@@ -308,43 +310,43 @@
   return true;
 }
 
-void ModelDesk::FailRunning(Request& aRequest, const FailStream& aAction) {
+void ModelHandler::FailRunning(Request& aRequest, const FailStream& aAction) {
   if (this->StartAnew(aRequest, aAction)) {
     return;
   }
   this->context.metrics.Count(
       "zincstep_failures_total",
-      {{"kind", std::string(AnswerFor(aAction.error.kind).name)}});
+      {{"kind", std::string(ErrorInfoFor(aAction.error.kind).name)}});
   if (aRequest.streamStarted) {
     this->context.callers.Append(aRequest.exchange,
                                  ErrorEventText(aAction.error, aAction.tokens));
     this->context.callers.Finish(aRequest.exchange);
   } else {
     this->context.callers.Respond(aRequest.exchange,
-                                  RefusalAnswer(aAction.error));
+                                  ErrorResponse(aAction.error));
   }
   this->claims.Finish(aRequest.id, nullptr);
   this->LeaveChain(aRequest);
   this->EndCharge(aRequest);
-  this->EndSpan(aRequest, std::string(AnswerFor(aAction.error.kind).name));
+  this->EndSpan(aRequest, std::string(ErrorInfoFor(aAction.error.kind).name));
   this->Remove(aRequest.id);
 }
 
-void ModelDesk::RefuseWaiting(Request& aRequest, const Error& aError) {
+void ModelHandler::RefuseWaiting(Request& aRequest, const Error& aError) {
   if (aRequest.isAnew) {
     this->context.Refuse(
         aRequest.exchange,
-        {ErrorKind::AnswerIncomplete, aError.message, aError.retryAfter});
+        {ErrorKind::ResponseIncomplete, aError.message, aError.retryAfter});
     this->claims.Finish(aRequest.id, nullptr);
   } else {
     this->context.Refuse(aRequest.exchange, aError);
     this->claims.Release(aRequest.id);
   }
-  this->EndSpan(aRequest, std::string(AnswerFor(aError.kind).name));
+  this->EndSpan(aRequest, std::string(ErrorInfoFor(aError.kind).name));
   this->Remove(aRequest.id);
 }
 
-void ModelDesk::EndSpan(Request& aRequest, const std::string& aOutcome) {
+void ModelHandler::EndSpan(Request& aRequest, const std::string& aOutcome) {
   aRequest.span.attributes["outcome"] = aOutcome;
   aRequest.span.attributes["organisation"] = aRequest.facts.organisation->name;
   aRequest.span.attributes["model"] = aRequest.asked.model;
@@ -366,7 +368,7 @@
   }
 }
 
-void ModelDesk::OnCallerGone(ExchangeId aExchange) {
+void ModelHandler::OnCallerDisconnected(ExchangeId aExchange) {
   const auto found = this->byExchange.find(aExchange);
   if (found == this->byExchange.end()) {
     return;
@@ -377,7 +379,7 @@
     this->QueueOf(*request).Remove(request->id);
     this->claims.Release(request->id);
   } else if (request->machine) {
-    this->Carry(*request, request->machine->OnCallerGone());
+    this->Carry(*request, request->machine->OnCallerDisconnected());
     this->claims.Finish(request->id, nullptr);
     this->LeaveChain(*request);
     this->EndCharge(*request);
@@ -386,7 +388,7 @@
   this->Remove(request->id);
 }
 
-void ModelDesk::OnToken(const TokenEvent& aEvent) {
+void ModelHandler::OnToken(const TokenEvent& aEvent) {
   Request* request = this->Find(aEvent.request);
   if (request == nullptr || !request->machine) {
     this->context.metrics.Count("zincstep_steps_total",
@@ -425,8 +427,8 @@
   this->Carry(*request, actions);
 }
 
-void ModelDesk::OnAttemptFailed(std::uint64_t aRequest, int aAttempt,
-                                int aStage, HopFailure aFailure) {
+void ModelHandler::OnAttemptFailed(std::uint64_t aRequest, int aAttempt,
+                                   int aStage, HopFailure aFailure) {
   if (Request* request = this->Find(aRequest); request && request->machine) {
     this->Carry(*request,
                 request->machine->OnFailure(aAttempt, aStage, aFailure,
@@ -434,14 +436,14 @@
   }
 }
 
-void ModelDesk::OnProgress(std::uint64_t aRequest, int aAttempt,
-                           const std::vector<StageProgress>& aProgress) {
+void ModelHandler::OnProgress(std::uint64_t aRequest, int aAttempt,
+                              const std::vector<StageProgress>& aProgress) {
   if (Request* request = this->Find(aRequest); request && request->machine) {
     this->Carry(*request, request->machine->OnProgress(aAttempt, aProgress));
   }
 }
 
-void ModelDesk::OnTick(Instant aNow) {
+void ModelHandler::OnTick(Instant aNow) {
   for (auto& [model, queue] : this->queues) {
     this->RefuseExpired(queue, aNow);
     this->StartWaiting(queue, aNow);
--- a/Zincstep/Entry/ModelDesk.h
+++ b/Zincstep/Entry/ModelHandler.h
@@ -5,28 +5,29 @@
 #include <string>
 #include <unordered_map>
 
-#include "Zincstep/Entry/AnswerWriter.h"
-#include "Zincstep/Entry/ClaimAnswer.h"
-#include "Zincstep/Entry/ClaimDesk.h"
+#include "Zincstep/Entry/ClaimCoordinator.h"
+#include "Zincstep/Entry/ClaimResponse.h"
 #include "Zincstep/Entry/EntryContext.h"
 #include "Zincstep/Entry/ModelPool.h"
+#include "Zincstep/Entry/ResponseWriter.h"
 #include "Zincstep/Entry/RouteLog.h"
 #include "Zincstep/Sequence/Sequence.h"
 
 namespace zincstep {
 
 /// Answers requests for tokens: admission, choice, streams, recovery.
-class ModelDesk : private ClaimListener {
+class ModelHandler : private ClaimListener {
  public:
-  ModelDesk(EntryContext& aContext, ClaimDesk& aClaims, ModelPool& aPool);
-  ~ModelDesk() override;
+  ModelHandler(EntryContext& aContext, ClaimCoordinator& aClaims,
+               ModelPool& aPool);
+  ~ModelHandler() override;
 
   /// A caller asks for tokens.
   void OnRequest(const HttpRequest& aRequest, bool aIsChat);
   /// A caller asks which models it may use.
   void OnModelList(const HttpRequest& aRequest);
   /// The caller of an exchange has gone.
-  void OnCallerGone(ExchangeId aExchange);
+  void OnCallerDisconnected(ExchangeId aExchange);
   void OnToken(const TokenEvent& aEvent);
   void OnAttemptFailed(std::uint64_t aRequest, int aAttempt, int aStage,
                        HopFailure aFailure);
@@ -74,7 +75,7 @@
   Request* Find(std::uint64_t aRequest);
 
   EntryContext& context;
-  ClaimDesk& claims;
+  ClaimCoordinator& claims;
   ModelPool& pool;
   /// One queue a model: models do not share capacity.
   std::map<std::string, FairQueue> queues;
--- a/Zincstep/Entry/ModelPool.cpp
+++ b/Zincstep/Entry/ModelPool.cpp
@@ -115,7 +115,7 @@
       state.model = model;
       for (auto& [version, kept] : state.versions) {
         if (std::exchange(kept.isOrdered, false)) {
-          kept.plannedStrengths.clear();
+          kept.plannedShares.clear();
         }
       }
     } else if (old != this->models.end()) {
@@ -169,7 +169,7 @@
   const Instant now = this->clock.Now();
   // An empty version says that it is loading one.
   this->actualVersions[aUpstream] = aVersion;
-  this->heardAt[aUpstream] = now;
+  this->lastSeenAt[aUpstream] = now;
   this->ForUpstream(
       aUpstream, [&](const std::string& aOne, LoadTable& aLoads, int aReplica) {
         aLoads.OnReport(aReplica, aSequences, now);
@@ -221,9 +221,9 @@
       state.layers = replica.layers;
       state.declaredVersion = replica.version;
       state.checksFence = this->checksFence.at(replica.name);
-      const auto heard = this->heardAt.find(replica.name);
+      const auto heard = this->lastSeenAt.find(replica.name);
       state.reachable =
-          heard != this->heardAt.end() && now - heard->second <= kHeardLife;
+          heard != this->lastSeenAt.end() && now - heard->second <= kHeardLife;
       const auto actual = this->actualVersions.find(replica.name);
       if (actual != this->actualVersions.end()) {
         state.actualVersion = actual->second;
@@ -291,14 +291,14 @@
   if (aVersion.isOrdered) {
     return false;
   }
-  const std::vector<double>& before = aVersion.plannedStrengths;
+  const std::vector<double>& before = aVersion.plannedShares;
   if (before.empty()) {
     return true;
   }
   if (aNow - aVersion.plannedAt < kLeastPlanInterval) {
     return false;
   }
-  const std::vector<double> now = aVersion.planner->Strengths(aNow);
+  const std::vector<double> now = aVersion.planner->UsableShares(aNow);
   const bool drifts = aNow - aVersion.plannedAt >= kDriftInterval;
   for (std::size_t i = 0; i < now.size(); ++i) {
     const bool turned = (now[i] > 0) != (before[i] > 0);
@@ -320,9 +320,9 @@
       }
       one.isOrdered = true;
       one.plannedAt = now;
-      one.plannedStrengths = one.planner->Strengths(now);
+      one.plannedShares = one.planner->UsableShares(now);
       due.push_back(
-          {name, version, this->generation, state.fleet, one.plannedStrengths});
+          {name, version, this->generation, state.fleet, one.plannedShares});
     }
   }
   return due;
--- a/Zincstep/Entry/ModelPool.h
+++ b/Zincstep/Entry/ModelPool.h
@@ -74,7 +74,7 @@
  private:
   struct VersionState {
     PlannerPtr planner;
-    std::vector<double> plannedStrengths;
+    std::vector<double> plannedShares;
     Instant plannedAt;
     bool isOrdered = false;
   };
@@ -105,7 +105,7 @@
   std::map<std::string, std::string> actualVersions;
   std::map<std::string, std::string> kinds;
   std::map<std::string, bool> checksFence;
-  std::map<std::string, Instant> heardAt;
+  std::map<std::string, Instant> lastSeenAt;
   std::set<std::string> paused;
 };
 
--- a/Zincstep/Entry/ModelRequest.h
+++ b/Zincstep/Entry/ModelRequest.h
@@ -3,7 +3,7 @@
 /// \file
 /// The state of one request for tokens; of the model desk alone.
 
-#include "Zincstep/Entry/ModelDesk.h"
+#include "Zincstep/Entry/ModelHandler.h"
 
 namespace zincstep {
 
@@ -23,11 +23,11 @@
 };
 
 /// One request for tokens, from its coming to its end.
-struct ModelDesk::Request {
+struct ModelHandler::Request {
   std::uint64_t id = 0;
   ExchangeId exchange = 0;
   SnapshotPtr snapshot;
-  CallerFacts facts;
+  CallerInfo facts;
   CompletionRequest asked;
   const Model* model = nullptr;
   int maxTokens = 0;
--- a/Zincstep/Entry/PeerDesk.cpp
+++ b/Zincstep/Entry/PeerHandler.cpp
@@ -1,4 +1,4 @@
-#include "Zincstep/Entry/PeerDesk.h"
+#include "Zincstep/Entry/PeerHandler.h"
 
 #include <algorithm>
 
@@ -17,17 +17,17 @@
 
 }  // namespace
 
-PeerDesk::PeerDesk(EntryContext& aContext, ModelPool& aPool, ClaimDesk& aClaims,
-                   ServiceDesk& aServices, ConfigWatcher& aWatcher,
-                   Keeper& aKeeper)
+PeerHandler::PeerHandler(EntryContext& aContext, ModelPool& aPool,
+                         ClaimCoordinator& aClaims, ServiceHandler& aServices,
+                         ConfigWatcher& aWatcher, DomainController& aController)
     : context(aContext),
       pool(aPool),
       claims(aClaims),
       services(aServices),
       watcher(aWatcher),
-      keeper(aKeeper) {}
+      controller(aController) {}
 
-void PeerDesk::OnMessage(const PeerMessage& aMessage) {
+void PeerHandler::OnMessage(const PeerMessage& aMessage) {
   if (const auto* gossip = std::get_if<GossipMessage>(&aMessage.body)) {
     this->OnGossip(*gossip, aMessage.replyTo);
   } else if (const auto* order =
@@ -45,7 +45,7 @@
                  std::get_if<MembersGiveMessage>(&aMessage.body)) {
     const Result<MemberLists> read = ReadMemberLists(lists->text);
     if (read) {
-      this->TakeMembers(*read);
+      this->ApplyMembers(*read);
     }
   } else if (std::holds_alternative<MembersWantMessage>(aMessage.body)) {
     this->context.Send(
@@ -60,8 +60,8 @@
   }
 }
 
-void PeerDesk::OnGossip(const GossipMessage& aGossip,
-                        const std::string& aReplyTo) {
+void PeerHandler::OnGossip(const GossipMessage& aGossip,
+                           const std::string& aReplyTo) {
   const Instant now = this->context.clock.Now();
   this->context.peers.OnGossip(aGossip, now);
   this->context.limits.OnReport(aGossip.vm, aGossip.usages, now);
@@ -101,8 +101,8 @@
   }
 }
 
-void PeerDesk::OnWant(const std::string& aReplyTo,
-                      const ConfigWantMessage& aWant) {
+void PeerHandler::OnWant(const std::string& aReplyTo,
+                         const ConfigWantMessage& aWant) {
   const SnapshotPtr& snapshot = this->context.snapshot;
   if (snapshot == nullptr || snapshot->revision <= aWant.haveRevision) {
     return;
@@ -118,7 +118,7 @@
   this->context.Send(aReplyTo, std::move(give));
 }
 
-void PeerDesk::TakeMembers(const MemberLists& aLists) {
+void PeerHandler::ApplyMembers(const MemberLists& aLists) {
   if (aLists.version <= this->context.members.version) {
     return;
   }
@@ -128,7 +128,7 @@
   this->context.members.handedTo.insert(handedTo.begin(), handedTo.end());
 }
 
-void PeerDesk::NoteLeaving(const std::string& aUpstream) {
+void PeerHandler::NoteLeaving(const std::string& aUpstream) {
   if (!this->context.roster.OnLeaving(aUpstream)) {
     return;
   }
@@ -136,7 +136,7 @@
   this->services.SetLeaving(aUpstream);
 }
 
-void PeerDesk::ApplyPaused() {
+void PeerHandler::ApplyPaused() {
   std::set<std::string> paused;
   for (const auto& [vm, upstreams] : this->pausedBy) {
     paused.insert(upstreams.begin(), upstreams.end());
@@ -148,7 +148,7 @@
   this->pool.SetPaused(paused);
 }
 
-void PeerDesk::OnKeeper(const KeeperReport& aReport) {
+void PeerHandler::OnControllerReport(const DomainControllerReport& aReport) {
   const bool pausedBefore =
       this->lastReport.paused && !this->lastReport.paused->empty();
   this->lastReport = aReport;
@@ -175,7 +175,7 @@
     }
   }
   if (aReport.members) {
-    this->TakeMembers(*aReport.members);
+    this->ApplyMembers(*aReport.members);
   }
   this->ApplyPaused();
   const bool pausedNow = aReport.paused && !aReport.paused->empty();
@@ -184,8 +184,8 @@
   }
 }
 
-void PeerDesk::OnLoad(const std::string& aUpstream,
-                      const Result<EngineLoad>& aLoad) {
+void PeerHandler::OnLoad(const std::string& aUpstream,
+                         const Result<EngineLoad>& aLoad) {
   UpstreamLoad& own = this->ownLoads[aUpstream];
   own.name = aUpstream;
   own.reachable = aLoad.has_value();
@@ -201,7 +201,7 @@
   }
 }
 
-void PeerDesk::Gossip() {
+void PeerHandler::Gossip() {
   const Instant now = this->context.clock.Now();
   GossipMessage gossip;
   gossip.vm = this->context.settings.vm;
@@ -226,12 +226,12 @@
       WritePeerMessage({this->context.member, this->context.settings.peerListen,
                         std::move(gossip)});
   for (const PeerInfo* peer : this->context.peers.DomainPeers()) {
-    this->context.hub.Send(peer->peerAddress, text);
+    this->context.transport.Send(peer->peerAddress, text);
   }
   this->nextGossip = now + this->context.settings.gossipInterval;
 }
 
-void PeerDesk::AskLoads() {
+void PeerHandler::AskLoads() {
   const Instant now = this->context.clock.Now();
   std::map<std::string, UpstreamLoad> kept;
   for (const auto& [name, address] : this->pool.Addresses()) {
@@ -249,7 +249,7 @@
   this->ownLoads = std::move(kept);
 }
 
-std::vector<DaemonStatus> PeerDesk::Daemons() const {
+std::vector<DaemonStatus> PeerHandler::Daemons() const {
   const Instant now = this->context.clock.Now();
   std::vector<DaemonStatus> daemons;
   DaemonStatus own;
@@ -259,7 +259,7 @@
   own.revision = this->context.snapshot ? this->context.snapshot->revision : 0;
   own.isHeard = true;
   own.isStopping = this->context.stopping;
-  own.heardAt = WallMicrosAt(now, now);
+  own.lastSeenAt = WallMicrosAt(now, now);
   daemons.push_back(std::move(own));
   for (const PeerInfo* peer : this->context.peers.DomainPeers()) {
     DaemonStatus status;
@@ -269,13 +269,13 @@
     status.revision = peer->revision;
     status.isHeard = this->context.peers.IsHeard(*peer, now);
     status.isStopping = peer->stopping;
-    status.heardAt = peer->heard ? WallMicrosAt(peer->heardAt, now) : 0;
+    status.lastSeenAt = peer->heard ? WallMicrosAt(peer->lastSeenAt, now) : 0;
     daemons.push_back(std::move(status));
   }
   return daemons;
 }
 
-const PeerInfo* PeerDesk::Successor() const {
+const PeerInfo* PeerHandler::Successor() const {
   const Instant now = this->context.clock.Now();
   const PeerInfo* best = nullptr;
   for (const PeerInfo* peer : this->context.peers.DomainPeers()) {
@@ -288,9 +288,9 @@
   return best;
 }
 
-void PeerDesk::TellKeeper() {
+void PeerHandler::UpdateController() {
   const Instant now = this->context.clock.Now();
-  KeeperInput input;
+  DomainControllerInput input;
   input.snapshot = this->context.snapshot;
   input.isReader = this->context.peers.IsMine("reader", now);
   input.isStopping = this->context.stopping;
@@ -314,10 +314,10 @@
     one.leaving = this->context.roster.IsLeaving(one.name);
   }
   this->watcher.SetReader(input.isReader);
-  this->keeper.Tell(std::move(input));
+  this->controller.Tell(std::move(input));
 }
 
-void PeerDesk::OnTick(Instant aNow) {
+void PeerHandler::OnTick(Instant aNow) {
   if (aNow >= this->nextLoads) {
     this->nextLoads = aNow + this->context.settings.loadInterval;
     this->AskLoads();
@@ -328,7 +328,7 @@
   }
   if (aNow >= this->nextTell) {
     this->nextTell = aNow + kTellInterval;
-    this->TellKeeper();
+    this->UpdateController();
   }
 }
 
--- a/Zincstep/Entry/PeerDesk.h
+++ b/Zincstep/Entry/PeerHandler.h
@@ -4,25 +4,26 @@
 #include <set>
 #include <string>
 
-#include "Zincstep/Entry/ClaimDesk.h"
+#include "Zincstep/Entry/ClaimCoordinator.h"
 #include "Zincstep/Entry/ConfigWatcher.h"
+#include "Zincstep/Entry/DomainController.h"
 #include "Zincstep/Entry/EntryContext.h"
-#include "Zincstep/Entry/Keeper.h"
 #include "Zincstep/Entry/ModelPool.h"
-#include "Zincstep/Entry/ServiceDesk.h"
+#include "Zincstep/Entry/ServiceHandler.h"
 
 namespace zincstep {
 
 /// Speaks with the other entry daemons: load, demand, news, configuration.
-class PeerDesk {
+class PeerHandler {
  public:
-  PeerDesk(EntryContext& aContext, ModelPool& aPool, ClaimDesk& aClaims,
-           ServiceDesk& aServices, ConfigWatcher& aWatcher, Keeper& aKeeper);
+  PeerHandler(EntryContext& aContext, ModelPool& aPool,
+              ClaimCoordinator& aClaims, ServiceHandler& aServices,
+              ConfigWatcher& aWatcher, DomainController& aController);
 
   /// A message has come from a peer.
   void OnMessage(const PeerMessage& aMessage);
   /// The keeper has news.
-  void OnKeeper(const KeeperReport& aReport);
+  void OnControllerReport(const DomainControllerReport& aReport);
   /// An upstream has answered this daemon's question for its load.
   void OnLoad(const std::string& aUpstream, const Result<EngineLoad>& aLoad);
   /// Tells the peers at once, as after news.
@@ -30,7 +31,7 @@
   /// Time has passed.
   void OnTick(Instant aNow);
 
-  const KeeperReport& LastReport() const { return this->lastReport; }
+  const DomainControllerReport& LastReport() const { return this->lastReport; }
   /// The peer that takes over the claims of this daemon, or null.
   const PeerInfo* Successor() const;
   /// Daemons of this domain with what is in force there.
@@ -39,19 +40,19 @@
  private:
   void OnGossip(const GossipMessage& aGossip, const std::string& aReplyTo);
   void OnWant(const std::string& aReplyTo, const ConfigWantMessage& aWant);
-  void TakeMembers(const MemberLists& aLists);
+  void ApplyMembers(const MemberLists& aLists);
   void NoteLeaving(const std::string& aUpstream);
   void ApplyPaused();
   void AskLoads();
-  void TellKeeper();
+  void UpdateController();
 
   EntryContext& context;
   ModelPool& pool;
-  ClaimDesk& claims;
-  ServiceDesk& services;
+  ClaimCoordinator& claims;
+  ServiceHandler& services;
   ConfigWatcher& watcher;
-  Keeper& keeper;
-  KeeperReport lastReport;
+  DomainController& controller;
+  DomainControllerReport lastReport;
   /// Own last questions for load.
   std::map<std::string, UpstreamLoad> ownLoads;
   std::map<std::string, std::vector<std::string>> pausedBy;
--- a/Zincstep/Entry/PlanWorker.cpp
+++ b/Zincstep/Entry/PlanWorker.cpp
@@ -11,7 +11,7 @@
 PlanWorker::PlanWorker(Sink aSink)
     : orders(kOrders, [sink = std::move(aSink)](const PlanOrder& aOrder) {
         sink({aOrder.model, aOrder.version, aOrder.generation,
-              ComputeFlowPlan(aOrder.fleet, aOrder.strengths)});
+              ComputeFlowPlan(aOrder.fleet, aOrder.usableShares)});
       }) {}
 
 }  // namespace zincstep
--- a/Zincstep/Entry/PlanWorker.h
+++ b/Zincstep/Entry/PlanWorker.h
@@ -15,7 +15,7 @@
   /// Tells plans of an earlier configuration from present ones.
   std::uint64_t generation = 0;
   Fleet fleet;
-  std::vector<double> strengths;
+  std::vector<double> usableShares;
 };
 
 /// A computed plan.
--- a/Zincstep/Entry/AnswerWriter.cpp
+++ b/Zincstep/Entry/ResponseWriter.cpp
@@ -1,4 +1,4 @@
-#include "Zincstep/Entry/AnswerWriter.h"
+#include "Zincstep/Entry/ResponseWriter.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
