--- a/Zincstep/Entry/Router.cpp
+++ b/Zincstep/Entry/Router.cpp
@@ -11,7 +11,7 @@
 }  // namespace
 
 Router::Router(EntryContext& aContext, Channel<RouterEvent>& aEvents,
-               Doorbell& aDoorbell, RouterWorkers aWorkers)
+               WakeEvent& aDoorbell, RouterWorkers aWorkers)
     : context(aContext),
       events(aEvents),
       doorbell(aDoorbell),
@@ -21,7 +21,7 @@
       models(aContext, this->claims, this->pool),
       services(aContext, this->claims),
       peers(aContext, this->pool, this->claims, this->services,
-            aWorkers.watcher, aWorkers.keeper),
+            aWorkers.watcher, aWorkers.controller),
       status(aContext, this->pool, this->models, this->services, this->claims,
              this->peers, aWorkers.watcher) {}
 
@@ -54,9 +54,9 @@
     this->OnCallerRequest(request->request);
   } else if (auto* token = std::get_if<TokenCameEvent>(&aEvent)) {
     this->models.OnToken(token->token);
-  } else if (auto* gone = std::get_if<CallerGoneEvent>(&aEvent)) {
-    this->models.OnCallerGone(gone->exchange);
-    this->services.OnCallerGone(gone->exchange);
+  } else if (auto* gone = std::get_if<CallerDisconnectedEvent>(&aEvent)) {
+    this->models.OnCallerDisconnected(gone->exchange);
+    this->services.OnCallerDisconnected(gone->exchange);
   } else if (auto* failed = std::get_if<AttemptFailedEvent>(&aEvent)) {
     this->models.OnAttemptFailed(failed->request, failed->attempt,
                                  failed->stage, failed->failure);
@@ -71,8 +71,8 @@
     this->OnSnapshot(snapshot->snapshot);
   } else if (auto* plan = std::get_if<PlanEvent>(&aEvent)) {
     this->pool.OnPlan(std::move(plan->result));
-  } else if (auto* keeper = std::get_if<KeeperEvent>(&aEvent)) {
-    this->peers.OnKeeper(keeper->report);
+  } else if (auto* controller = std::get_if<DomainControllerEvent>(&aEvent)) {
+    this->peers.OnControllerReport(controller->report);
   } else if (auto* peer = std::get_if<PeerEvent>(&aEvent)) {
     this->peers.OnMessage(peer->message);
   } else if (auto* admin = std::get_if<AdminRequestEvent>(&aEvent)) {
@@ -156,7 +156,7 @@
   if (this->phase == Phase::Refusing && (this->Open() == 0 || late)) {
     this->phase = Phase::HandingOver;
     this->handOverAt = aNow;
-    if (this->claims.HandOverTo(this->peers.Successor())) {
+    if (this->claims.TransferClaimsTo(this->peers.Successor())) {
       this->phase = Phase::Done;
     }
   }
--- a/Zincstep/Entry/Router.h
+++ b/Zincstep/Entry/Router.h
@@ -3,12 +3,12 @@
 #include <atomic>
 #include <thread>
 
-#include "Zincstep/Entry/ClaimDesk.h"
-#include "Zincstep/Entry/ModelDesk.h"
-#include "Zincstep/Entry/PeerDesk.h"
+#include "Zincstep/Entry/ClaimCoordinator.h"
+#include "Zincstep/Entry/ModelHandler.h"
+#include "Zincstep/Entry/PeerHandler.h"
 #include "Zincstep/Entry/RouterEvent.h"
-#include "Zincstep/Entry/ServiceDesk.h"
-#include "Zincstep/Entry/StatusDesk.h"
+#include "Zincstep/Entry/ServiceHandler.h"
+#include "Zincstep/Entry/StatusHandler.h"
 
 namespace zincstep {
 
@@ -16,7 +16,7 @@
 struct RouterWorkers {
   PlanWorker& plans;
   ConfigWatcher& watcher;
-  Keeper& keeper;
+  DomainController& controller;
 };
 
 /// The thread that owns all decisions of a daemon.
@@ -27,7 +27,7 @@
 class Router {
  public:
   Router(EntryContext& aContext, Channel<RouterEvent>& aEvents,
-         Doorbell& aDoorbell, RouterWorkers aWorkers);
+         WakeEvent& aDoorbell, RouterWorkers aWorkers);
 
   /// Runs until the daemon has stopped in order.
   void Run();
@@ -46,14 +46,14 @@
 
   EntryContext& context;
   Channel<RouterEvent>& events;
-  Doorbell& doorbell;
+  WakeEvent& doorbell;
   RouterWorkers workers;
   ModelPool pool;
-  ClaimDesk claims;
-  ModelDesk models;
-  ServiceDesk services;
-  PeerDesk peers;
-  StatusDesk status;
+  ClaimCoordinator claims;
+  ModelHandler models;
+  ServiceHandler services;
+  PeerHandler peers;
+  StatusHandler status;
   Phase phase = Phase::Serving;
   Instant stopAt;
   Instant handOverAt;
--- a/Zincstep/Entry/RouterEvent.h
+++ b/Zincstep/Entry/RouterEvent.h
@@ -3,7 +3,7 @@
 #include <variant>
 
 #include "Zincstep/Engine/Engine.h"
-#include "Zincstep/Entry/Keeper.h"
+#include "Zincstep/Entry/DomainController.h"
 #include "Zincstep/Entry/PlanWorker.h"
 #include "Zincstep/Entry/Snapshot.h"
 #include "Zincstep/Peer/Peer.h"
@@ -19,7 +19,7 @@
   HttpRequest request;
 };
 /// The caller of an exchange has gone.
-struct CallerGoneEvent {
+struct CallerDisconnectedEvent {
   ExchangeId exchange = 0;
 };
 /// An engine sent a token.
@@ -58,8 +58,8 @@
   PlanResult result;
 };
 /// The keeper has news.
-struct KeeperEvent {
-  KeeperReport report;
+struct DomainControllerEvent {
+  DomainControllerReport report;
 };
 /// A peer has sent a message.
 struct PeerEvent {
@@ -72,9 +72,9 @@
 
 /// Everything that the other threads tell the router's.
 using RouterEvent =
-    std::variant<CallerRequestEvent, AdminRequestEvent, CallerGoneEvent,
+    std::variant<CallerRequestEvent, AdminRequestEvent, CallerDisconnectedEvent,
                  TokenCameEvent, AttemptFailedEvent, ProgressEvent, LoadEvent,
-                 CallEndEvent, SnapshotEvent, PlanEvent, KeeperEvent, PeerEvent,
-                 StopEvent, AbandonEvent>;
+                 CallEndEvent, SnapshotEvent, PlanEvent, DomainControllerEvent,
+                 PeerEvent, StopEvent, AbandonEvent>;
 
 }  // namespace zincstep
--- a/Zincstep/Entry/ServiceDesk.cpp
+++ b/Zincstep/Entry/ServiceHandler.cpp
@@ -1,4 +1,4 @@
-#include "Zincstep/Entry/ServiceDesk.h"
+#include "Zincstep/Entry/ServiceHandler.h"
 
 #include <algorithm>
 #include <array>
@@ -34,10 +34,10 @@
 }  // namespace
 
 /// One call of a service, from its coming to its end.
-struct ServiceDesk::Request {
+struct ServiceHandler::Request {
   std::uint64_t id = 0;
   HttpRequest http;
-  CallerFacts facts;
+  CallerInfo facts;
   SnapshotPtr snapshot;
   std::string service;
   BalancerPtr balancer;
@@ -56,16 +56,17 @@
   Span span;
 };
 
-ServiceDesk::ServiceDesk(EntryContext& aContext, ClaimDesk& aClaims)
+ServiceHandler::ServiceHandler(EntryContext& aContext,
+                               ClaimCoordinator& aClaims)
     : context(aContext),
       claims(aClaims),
       budget(RetryBudgetSettings{}),
       lastRequest((std::uint64_t{1} << 60) +
                   aContext.random.Below(kFirstRequestSpread)) {}
 
-ServiceDesk::~ServiceDesk() = default;
+ServiceHandler::~ServiceHandler() = default;
 
-void ServiceDesk::SetSnapshot(const Snapshot& aSnapshot) {
+void ServiceHandler::SetSnapshot(const Snapshot& aSnapshot) {
   const auto same = [](const ServiceReplica& aA, const ServiceReplica& aB) {
     return aA.name == aB.name && aA.address == aB.address &&
            aA.failureDomain == aB.failureDomain;
@@ -93,7 +94,7 @@
   this->balancers = std::move(next);
 }
 
-void ServiceDesk::SetLeaving(const std::string& aReplica) {
+void ServiceHandler::SetLeaving(const std::string& aReplica) {
   for (auto& [name, balancer] : this->balancers) {
     for (std::size_t i = 0; i < balancer->Replicas().size(); ++i) {
       if (balancer->Replicas()[i].name == aReplica) {
@@ -103,7 +104,7 @@
   }
 }
 
-const PlainService* ServiceDesk::Match(const HttpRequest& aRequest) const {
+const PlainService* ServiceHandler::Match(const HttpRequest& aRequest) const {
   const std::string_view host = FindHeader(aRequest.headers, "Host");
   const std::string_view name = host.substr(0, host.find(':'));
   const PlainService* best = nullptr;
@@ -120,11 +121,11 @@
   return best;
 }
 
-void ServiceDesk::OnRequest(const HttpRequest& aRequest) {
+void ServiceHandler::OnRequest(const HttpRequest& aRequest) {
   const Instant now = this->context.clock.Now();
-  Result<CallerFacts> facts = ReadCallerFacts(aRequest, *this->context.snapshot,
-                                              LimitsOf(this->context.settings),
-                                              now, this->context.random);
+  Result<CallerInfo> facts = ReadCallerFacts(aRequest, *this->context.snapshot,
+                                             LimitsOf(this->context.settings),
+                                             now, this->context.random);
   if (!facts) {
     this->context.Refuse(aRequest.exchange, facts.error());
     return;
@@ -169,8 +170,8 @@
   this->Try(request);
 }
 
-void ServiceDesk::OnClaim(std::uint64_t aRequest, ClaimVerdict aVerdict,
-                          const Claim& aHolder) {
+void ServiceHandler::OnClaim(std::uint64_t aRequest, ClaimVerdict aVerdict,
+                             const Claim& aHolder) {
   const auto found = this->requests.find(aRequest);
   if (found == this->requests.end()) {
     this->claims.Release(aRequest);
@@ -181,16 +182,16 @@
     this->Try(request);
     return;
   }
-  AnswerHeldClaim(this->context, request.http.exchange, aVerdict, aHolder,
-                  request.digest);
+  RespondToHeldClaim(this->context, request.http.exchange, aVerdict, aHolder,
+                     request.digest);
   request.span.attributes["outcome"] = "held";
   this->context.tracer.End(request.span);
   this->byExchange.erase(request.http.exchange);
   this->requests.erase(found);
 }
 
-HttpCall ServiceDesk::CallFor(const Request& aRequest, int aReplica,
-                              Micros aLeft) const {
+HttpCall ServiceHandler::CallFor(const Request& aRequest, int aReplica,
+                                 Micros aLeft) const {
   const ServiceReplica& replica =
       aRequest.balancer->Replicas()[static_cast<std::size_t>(aReplica)];
   HttpCall call;
@@ -216,7 +217,7 @@
   return call;
 }
 
-void ServiceDesk::Try(Request& aRequest) {
+void ServiceHandler::Try(Request& aRequest) {
   const Instant now = this->context.clock.Now();
   const Micros left = aRequest.facts.deadline - now;
   if (left <= 0us) {
@@ -247,7 +248,7 @@
   this->context.metrics.Count("zincstep_service_tries_total");
 }
 
-bool ServiceDesk::OnCallEnd(CallId aCall, const HttpCallResult& aResult) {
+bool ServiceHandler::OnCallEnd(CallId aCall, const HttpCallResult& aResult) {
   const auto call = this->byCall.find(aCall);
   if (call == this->byCall.end()) {
     return false;
@@ -280,12 +281,13 @@
   return true;
 }
 
-void ServiceDesk::OnAnswered(Request& aRequest, const HttpCallResult& aResult) {
+void ServiceHandler::OnAnswered(Request& aRequest,
+                                const HttpCallResult& aResult) {
   if (aRequest.repeatable && IsUnavailable(aResult.status) &&
       this->Retry(aRequest)) {
     return;
   }
-  HttpAnswer answer;
+  HttpResponse answer;
   answer.status = aResult.status;
   answer.body = aResult.body;
   for (const HttpHeader& header : aResult.headers) {
@@ -296,7 +298,8 @@
   this->End(aRequest, answer, true, "answered");
 }
 
-void ServiceDesk::OnNoAnswer(Request& aRequest, const HttpCallResult& aResult) {
+void ServiceHandler::OnNoAnswer(Request& aRequest,
+                                const HttpCallResult& aResult) {
   const bool neverSent = aResult.end == CallEnd::NotSent;
   if ((neverSent || aRequest.repeatable) && this->Retry(aRequest)) {
     return;
@@ -312,7 +315,7 @@
 }
 
 /// Ends a request without an answer: as not run where that is certain.
-void ServiceDesk::GiveUp(Request& aRequest, const Error& aError) {
+void ServiceHandler::GiveUp(Request& aRequest, const Error& aError) {
   if (!aRequest.mayHaveRun) {
     this->Refuse(aRequest, aError);
     return;
@@ -323,14 +326,14 @@
       late ? ErrorKind::DeadlineDuringRun : ErrorKind::UpstreamFailed,
       aError.message,
       {}};
-  this->End(aRequest, RefusalAnswer(error), false,
-            std::string(AnswerFor(error.kind).name));
+  this->End(aRequest, ErrorResponse(error), false,
+            std::string(ErrorInfoFor(error.kind).name));
 }
 
-bool ServiceDesk::Retry(Request& aRequest) {
+bool ServiceHandler::Retry(Request& aRequest) {
   aRequest.failed.push_back(aRequest.replica);
   if (aRequest.tries >= kMostTries || aRequest.callerGone ||
-      !this->budget.TakeRetry()) {
+      !this->budget.TryAcquireRetry()) {
     return false;
   }
   const Micros pause = this->budget.Pause(aRequest.tries, this->context.random);
@@ -339,10 +342,10 @@
   return true;
 }
 
-void ServiceDesk::End(Request& aRequest, const HttpAnswer& aAnswer, bool aRan,
-                      const std::string& aOutcome) {
+void ServiceHandler::End(Request& aRequest, const HttpResponse& aAnswer,
+                         bool aRan, const std::string& aOutcome) {
   if (aRequest.isKeyed) {
-    KeptAnswer kept;
+    CachedResponse kept;
     kept.status = aAnswer.status;
     kept.contentType = FindHeader(aAnswer.headers, "Content-Type");
     kept.body = aAnswer.body;
@@ -360,18 +363,18 @@
   this->requests.erase(aRequest.id);
 }
 
-void ServiceDesk::Refuse(Request& aRequest, const Error& aError) {
-  ZINCSTEP_ASSERT(AnswerFor(aError.kind).outcome == Outcome::NotRun);
+void ServiceHandler::Refuse(Request& aRequest, const Error& aError) {
+  ZINCSTEP_ASSERT(ErrorInfoFor(aError.kind).outcome == Outcome::NotRun);
   this->claims.Release(aRequest.id);
   aRequest.isKeyed = false;
   this->context.metrics.Count(
       "zincstep_refusals_total",
-      {{"kind", std::string(AnswerFor(aError.kind).name)}});
-  this->End(aRequest, RefusalAnswer(aError), false,
-            std::string(AnswerFor(aError.kind).name));
+      {{"kind", std::string(ErrorInfoFor(aError.kind).name)}});
+  this->End(aRequest, ErrorResponse(aError), false,
+            std::string(ErrorInfoFor(aError.kind).name));
 }
 
-void ServiceDesk::OnCallerGone(ExchangeId aExchange) {
+void ServiceHandler::OnCallerDisconnected(ExchangeId aExchange) {
   const auto found = this->byExchange.find(aExchange);
   if (found == this->byExchange.end()) {
     return;
@@ -385,7 +388,7 @@
   }
 }
 
-void ServiceDesk::OnTick(Instant aNow) {
+void ServiceHandler::OnTick(Instant aNow) {
   std::vector<std::uint64_t> due;
   for (const auto& [id, at] : this->pauses) {
     if (at <= aNow) {
--- a/Zincstep/Entry/ServiceDesk.h
+++ b/Zincstep/Entry/ServiceHandler.h
@@ -5,25 +5,25 @@
 #include <string>
 #include <unordered_map>
 
-#include "Zincstep/Entry/ClaimAnswer.h"
-#include "Zincstep/Entry/ClaimDesk.h"
+#include "Zincstep/Entry/ClaimCoordinator.h"
+#include "Zincstep/Entry/ClaimResponse.h"
 #include "Zincstep/Entry/EntryContext.h"
 #include "Zincstep/Routing/Routing.h"
 
 namespace zincstep {
 
 /// Passes calls on to plain services, at most once where that is declared.
-class ServiceDesk : private ClaimListener {
+class ServiceHandler : private ClaimListener {
  public:
-  ServiceDesk(EntryContext& aContext, ClaimDesk& aClaims);
-  ~ServiceDesk() override;
+  ServiceHandler(EntryContext& aContext, ClaimCoordinator& aClaims);
+  ~ServiceHandler() override;
 
   /// Takes a new configuration.
   void SetSnapshot(const Snapshot& aSnapshot);
   /// A caller calls something that is not under `/v1/`.
   void OnRequest(const HttpRequest& aRequest);
   /// The caller of an exchange has gone.
-  void OnCallerGone(ExchangeId aExchange);
+  void OnCallerDisconnected(ExchangeId aExchange);
   /// A call has ended; false where it was not one of this desk's.
   bool OnCallEnd(CallId aCall, const HttpCallResult& aResult);
   /// An upstream leaves.
@@ -45,13 +45,13 @@
   void OnAnswered(Request& aRequest, const HttpCallResult& aResult);
   void OnNoAnswer(Request& aRequest, const HttpCallResult& aResult);
   bool Retry(Request& aRequest);
-  void End(Request& aRequest, const HttpAnswer& aAnswer, bool aRan,
+  void End(Request& aRequest, const HttpResponse& aAnswer, bool aRan,
            const std::string& aOutcome);
   void GiveUp(Request& aRequest, const Error& aError);
   void Refuse(Request& aRequest, const Error& aError);
 
   EntryContext& context;
-  ClaimDesk& claims;
+  ClaimCoordinator& claims;
   RetryBudget budget;
   std::uint64_t lastRequest;
   std::map<std::string, BalancerPtr> balancers;
--- a/Zincstep/Entry/StatusDesk.cpp
+++ b/Zincstep/Entry/StatusHandler.cpp
@@ -1,4 +1,4 @@
-#include "Zincstep/Entry/StatusDesk.h"
+#include "Zincstep/Entry/StatusHandler.h"
 
 #include <sys/resource.h>
 
@@ -24,17 +24,17 @@
   return usage.ru_maxrss;
 }
 
-HttpAnswer NotHere() {
-  return RefusalAnswer(
+HttpResponse NotHere() {
+  return ErrorResponse(
       {ErrorKind::UnknownService, "there is nothing here", {}});
 }
 
 }  // namespace
 
-StatusDesk::StatusDesk(EntryContext& aContext, ModelPool& aPool,
-                       ModelDesk& aModels, ServiceDesk& aServices,
-                       ClaimDesk& aClaims, PeerDesk& aPeers,
-                       const ConfigWatcher& aWatcher)
+StatusHandler::StatusHandler(EntryContext& aContext, ModelPool& aPool,
+                             ModelHandler& aModels, ServiceHandler& aServices,
+                             ClaimCoordinator& aClaims, PeerHandler& aPeers,
+                             const ConfigWatcher& aWatcher)
     : context(aContext),
       pool(aPool),
       models(aModels),
@@ -43,49 +43,49 @@
       peers(aPeers),
       watcher(aWatcher) {}
 
-bool StatusDesk::OnRequest(const HttpRequest& aRequest) {
+bool StatusHandler::OnRequest(const HttpRequest& aRequest) {
   const std::string& path = aRequest.path;
-  HttpAnswer answer = NotHere();
+  HttpResponse answer = NotHere();
   bool stops = false;
   if (path == "/healthz") {
-    answer = JsonAnswer("{\"alive\":true}");
+    answer = JsonResponse("{\"alive\":true}");
   } else if (path == "/readyz") {
     answer = this->Ready();
   } else if (path == "/metrics") {
     answer = this->MetricsAnswer();
   } else if (path == "/v1/status") {
-    answer = JsonAnswer(this->Status().dump());
+    answer = JsonResponse(this->Status().dump());
   } else if (path == "/v1/upstreams") {
-    answer = JsonAnswer(this->Upstreams().dump());
+    answer = JsonResponse(this->Upstreams().dump());
   } else if (path == "/v1/organisations") {
-    answer = JsonAnswer(this->Organisations().dump());
+    answer = JsonResponse(this->Organisations().dump());
   } else if (path == "/v1/chains") {
     answer =
-        JsonAnswer(this->Chains(QueryValue(aRequest.query, "model")).dump());
+        JsonResponse(this->Chains(QueryValue(aRequest.query, "model")).dump());
   } else if (path == "/v1/explain") {
     answer = this->Explain(aRequest);
   } else if (path == "/v1/drain" && aRequest.method == "POST") {
-    answer = JsonAnswer("{\"stopping\":true}");
+    answer = JsonResponse("{\"stopping\":true}");
     stops = true;
   }
   this->context.admin.Respond(aRequest.exchange, std::move(answer));
   return stops;
 }
 
-HttpAnswer StatusDesk::Ready() const {
+HttpResponse StatusHandler::Ready() const {
   if (this->context.stopping) {
-    return RefusalAnswer({ErrorKind::Stopping, "this daemon is stopping", {}});
+    return ErrorResponse({ErrorKind::Stopping, "this daemon is stopping", {}});
   }
   if (this->context.snapshot == nullptr) {
-    return RefusalAnswer(
+    return ErrorResponse(
         {ErrorKind::NotReady, "no configuration has been heard yet", {}});
   }
-  return JsonAnswer("{\"ready\":true}");
+  return JsonResponse("{\"ready\":true}");
 }
 
-HttpAnswer StatusDesk::MetricsAnswer() {
+HttpResponse StatusHandler::MetricsAnswer() {
   Metrics& metrics = this->context.metrics;
-  const PeerTraffic traffic = this->context.hub.Traffic();
+  const PeerTraffic traffic = this->context.transport.Traffic();
   metrics.Set("zincstep_open_requests",
               static_cast<double>(this->models.Open()), {{"kind", "model"}});
   metrics.Set("zincstep_open_requests",
@@ -108,15 +108,15 @@
               this->context.snapshot
                   ? static_cast<double>(this->context.snapshot->revision)
                   : 0);
-  HttpAnswer answer;
+  HttpResponse answer;
   answer.headers = {{"Content-Type", "text/plain; version=0.0.4"}};
   answer.body = metrics.Text();
   return answer;
 }
 
-Json StatusDesk::Status() const {
+Json StatusHandler::Status() const {
   const Instant now = this->context.clock.Now();
-  const KeeperReport& keeper = this->peers.LastReport();
+  const DomainControllerReport& controller = this->peers.LastReport();
   const std::int64_t answered = this->watcher.LastAnswerMicros();
   Json daemons = Json::array();
   for (const DaemonStatus& one : this->peers.Daemons()) {
@@ -124,7 +124,7 @@
                        {"revision", one.revision},
                        {"heard", one.isHeard},
                        {"stopping", one.isStopping},
-                       {"heard_at", one.heardAt}});
+                       {"heard_at", one.lastSeenAt}});
   }
   return {
       {"vm", this->context.settings.vm},
@@ -133,9 +133,9 @@
       {"revision",
        this->context.snapshot ? this->context.snapshot->revision : 0},
       {"stopping", this->context.stopping},
-      {"has_duty", keeper.hasDuty},
-      {"fence", keeper.fence},
-      {"platform_answers", keeper.platformAnswers},
+      {"has_duty", controller.isLeader},
+      {"fence", controller.fence},
+      {"platform_answers", controller.platformAnswers},
       {"knowledge_age_ms",
        answered == 0 ? -1 : (now.time_since_epoch().count() - answered) / 1000},
       {"open", this->models.Open() + this->services.Open()},
@@ -149,12 +149,12 @@
                        ? 0
                        : this->context.members.lists.front().members.size()}}},
       {"leaving", this->context.roster.Leaving()},
-      {"stuck", keeper.stuck},
-      {"hears_all_peers", this->context.limits.HearsAll(now)},
+      {"stuck", controller.stuck},
+      {"hears_all_peers", this->context.limits.AreAllPeersLive(now)},
       {"daemons", std::move(daemons)}};
 }
 
-Json StatusDesk::Upstreams() {
+Json StatusHandler::Upstreams() {
   Json list = Json::array();
   for (const UpstreamView& view : this->pool.Views()) {
     list.push_back({{"name", view.name},
@@ -171,7 +171,7 @@
   return {{"upstreams", std::move(list)}};
 }
 
-Json StatusDesk::Organisations() const {
+Json StatusHandler::Organisations() const {
   Json list = Json::array();
   if (this->context.snapshot) {
     for (const Organisation& one :
@@ -189,7 +189,7 @@
   return {{"organisations", std::move(list)}};
 }
 
-Json StatusDesk::Chains(const std::string& aModel) {
+Json StatusHandler::Chains(const std::string& aModel) {
   Json list = Json::array();
   if (this->context.snapshot == nullptr) {
     return {{"chains", std::move(list)}};
@@ -230,15 +230,15 @@
   return {{"chains", std::move(list)}};
 }
 
-HttpAnswer StatusDesk::Explain(const HttpRequest& aRequest) {
+HttpResponse StatusHandler::Explain(const HttpRequest& aRequest) {
   const std::string id = QueryValue(aRequest.query, "request");
   const Json* route = this->models.Routes().Find(id);
   if (route == nullptr) {
-    return RefusalAnswer({ErrorKind::UnknownService,
+    return ErrorResponse({ErrorKind::UnknownService,
                           "the route of '" + id + "' is not kept here",
                           {}});
   }
-  return JsonAnswer(route->dump());
+  return JsonResponse(route->dump());
 }
 
 }  // namespace zincstep
--- /dev/null
+++ b/Zincstep/Entry/StatusHandler.h
@@ -0,0 +1,39 @@
+#pragma once
+
+#include "Zincstep/Entry/ClaimCoordinator.h"
+#include "Zincstep/Entry/EntryContext.h"
+#include "Zincstep/Entry/ModelHandler.h"
+#include "Zincstep/Entry/PeerHandler.h"
+#include "Zincstep/Entry/ServiceHandler.h"
+
+namespace zincstep {
+
+/// Answers operators: health, metrics and what this daemon knows.
+class StatusHandler {
+ public:
+  StatusHandler(EntryContext& aContext, ModelPool& aPool, ModelHandler& aModels,
+                ServiceHandler& aServices, ClaimCoordinator& aClaims,
+                PeerHandler& aPeers, const ConfigWatcher& aWatcher);
+
+  /// An operator's request; true where it asks the daemon to stop.
+  bool OnRequest(const HttpRequest& aRequest);
+
+ private:
+  HttpResponse Ready() const;
+  HttpResponse MetricsAnswer();
+  nlohmann::json Status() const;
+  nlohmann::json Upstreams();
+  nlohmann::json Organisations() const;
+  nlohmann::json Chains(const std::string& aModel);
+  HttpResponse Explain(const HttpRequest& aRequest);
+
+  EntryContext& context;
+  ModelPool& pool;
+  ModelHandler& models;
+  ServiceHandler& services;
+  ClaimCoordinator& claims;
+  PeerHandler& peers;
+  const ConfigWatcher& watcher;
+};
+
+}  // namespace zincstep
--- a/Zincstep/Membership/UpstreamRoster.cpp
+++ b/Zincstep/Membership/LeavingUpstreams.cpp
@@ -1,12 +1,12 @@
-#include "Zincstep/Membership/UpstreamRoster.h"
+#include "Zincstep/Membership/LeavingUpstreams.h"
 
 namespace zincstep {
 
-bool UpstreamRoster::OnLeaving(const std::string& aUpstream) {
+bool LeavingUpstreams::OnLeaving(const std::string& aUpstream) {
   return this->leaving.insert(aUpstream).second;
 }
 
-std::vector<std::string> UpstreamRoster::OnVmList(
+std::vector<std::string> LeavingUpstreams::OnVmList(
     const std::vector<VmEntry>& aVms) {
   std::vector<std::string> news;
   std::set<std::string> now;
--- a/Zincstep/Membership/UpstreamRoster.h
+++ b/Zincstep/Membership/LeavingUpstreams.h
@@ -15,7 +15,7 @@
 /// that the list stopped showing and then shows anew is a new upstream
 /// under an old name. A wrong "leaving" costs capacity for a while; a
 /// missed one sends work to a VM that is about to go.
-class UpstreamRoster {
+class LeavingUpstreams {
  public:
   /// Takes a new VM list; gives the upstreams that began to leave by it.
   std::vector<std::string> OnVmList(const std::vector<VmEntry>& aVms);
--- a/Zincstep/Membership/Membership.h
+++ b/Zincstep/Membership/Membership.h
@@ -3,5 +3,5 @@
 /// \file
 /// Public header of the membership library.
 
+#include "Zincstep/Membership/LeavingUpstreams.h"
 #include "Zincstep/Membership/PeerTable.h"
-#include "Zincstep/Membership/UpstreamRoster.h"
--- a/Zincstep/Membership/PeerTable.cpp
+++ b/Zincstep/Membership/PeerTable.cpp
@@ -48,7 +48,7 @@
   peer.handedTo = aGossip.handedTo;
   peer.stopping = aGossip.stopping || (peer.stopping && !isNew);
   peer.heard = true;
-  peer.heardAt = aNow;
+  peer.lastSeenAt = aNow;
 }
 
 std::vector<const PeerInfo*> PeerTable::DomainPeers() const {
@@ -61,8 +61,7 @@
   return found;
 }
 
-std::string PeerTable::DutyHolder(const std::string& aDuty,
-                                  Instant aNow) const {
+std::string PeerTable::OwnerOf(const std::string& aDuty, Instant aNow) const {
   const std::uint64_t key = Hash64(aDuty);
   std::string best = this->ownVm;
   std::uint64_t bestScore = RendezvousScore(key, this->ownVm);
--- a/Zincstep/Membership/PeerTable.h
+++ b/Zincstep/Membership/PeerTable.h
@@ -23,7 +23,7 @@
   bool stopping = false;
   std::string handedTo;
   bool heard = false;
-  Instant heardAt;
+  Instant lastSeenAt;
 };
 
 /// Settings of a peer table.
@@ -55,14 +55,14 @@
   const std::map<std::string, PeerInfo>& All() const { return this->peers; }
   /// Whether a peer was heard of late.
   bool IsHeard(const PeerInfo& aPeer, Instant aNow) const {
-    return aPeer.heard && aNow - aPeer.heardAt <= this->settings.silence;
+    return aPeer.heard && aNow - aPeer.lastSeenAt <= this->settings.silence;
   }
   /// The VM of this domain that has a duty, by rendezvous hashing over
   /// those that are heard, this one included.
-  std::string DutyHolder(const std::string& aDuty, Instant aNow) const;
+  std::string OwnerOf(const std::string& aDuty, Instant aNow) const;
   /// Whether this daemon has a duty.
   bool IsMine(const std::string& aDuty, Instant aNow) const {
-    return this->DutyHolder(aDuty, aNow) == this->ownVm;
+    return this->OwnerOf(aDuty, aNow) == this->ownVm;
   }
   /// Daemons of this domain that are heard, this one included.
   int LiveDaemons(Instant aNow) const;
--- a/Zincstep/Net/Answers.cpp
+++ b/Zincstep/Net/Answers.cpp
@@ -5,7 +5,7 @@
 namespace zincstep {
 
 std::string ErrorJson(const Error& aError) {
-  const ErrorAnswer& row = AnswerFor(aError.kind);
+  const ErrorInfo& row = ErrorInfoFor(aError.kind);
   nlohmann::json error{{"kind", row.name},
                        {"outcome", NameOf(row.outcome)},
                        {"message", aError.message}};
@@ -16,9 +16,9 @@
   return whole.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-HttpAnswer RefusalAnswer(const Error& aError) {
-  HttpAnswer answer = JsonAnswer(ErrorJson(aError));
-  answer.status = AnswerFor(aError.kind).status;
+HttpResponse ErrorResponse(const Error& aError) {
+  HttpResponse answer = JsonResponse(ErrorJson(aError));
+  answer.status = ErrorInfoFor(aError.kind).status;
   if (aError.RetryAfter() > 0s) {
     const auto seconds =
         std::chrono::ceil<std::chrono::seconds>(aError.RetryAfter());
@@ -27,8 +27,8 @@
   return answer;
 }
 
-HttpAnswer JsonAnswer(std::string aJson) {
-  HttpAnswer answer;
+HttpResponse JsonResponse(std::string aJson) {
+  HttpResponse answer;
   answer.headers.push_back({"Content-Type", "application/json"});
   answer.body = std::move(aJson);
   return answer;
--- a/Zincstep/Net/Answers.h
+++ b/Zincstep/Net/Answers.h
@@ -13,9 +13,9 @@
 std::string ErrorJson(const Error& aError);
 
 /// The refusal of a request: status, `Retry-After` and the JSON object.
-HttpAnswer RefusalAnswer(const Error& aError);
+HttpResponse ErrorResponse(const Error& aError);
 
 /// An answer with status 200 and a JSON body.
-HttpAnswer JsonAnswer(std::string aJson);
+HttpResponse JsonResponse(std::string aJson);
 
 }  // namespace zincstep
--- a/Zincstep/Net/CallerConnection.cpp
+++ b/Zincstep/Net/CallerConnection.cpp
@@ -68,7 +68,7 @@
     const bool wasBusy = this->isBusy;
     this->Close();
     if (wasBusy) {
-      this->handler.OnCallerGone(*this);
+      this->handler.OnCallerDisconnected(*this);
     }
     return;
   }
@@ -107,9 +107,10 @@
   this->isBusy = true;
   this->closesAfter = true;
   const bool isTooLarge = aError.kind == ErrorKind::RequestTooLarge;
-  this->Answer(
-      isTooLarge && !this->bodyTooLarge ? 431 : AnswerFor(aError.kind).status,
-      {}, aError.message);
+  this->Answer(isTooLarge && !this->bodyTooLarge
+                   ? 431
+                   : ErrorInfoFor(aError.kind).status,
+               {}, aError.message);
 }
 
 void CallerConnection::OnHead(HttpHead aHead) {
@@ -315,7 +316,7 @@
         auto connection = std::make_shared<CallerConnection>(
             std::move(aSocket), this->handler, this->limits, this->clock);
         if (!this->keeps) {
-          connection->StopKeeping();
+          connection->DisableKeepAlive();
         }
         this->connections.insert(connection);
         connection->Start();
@@ -323,16 +324,16 @@
       });
 }
 
-void CallerListener::CloseResting() {
+void CallerListener::CloseIdle() {
   for (const auto& connection : this->connections) {
     connection->CloseWhenDone();
   }
 }
 
-void CallerListener::StopKeeping() {
+void CallerListener::DisableKeepAlive() {
   this->keeps = false;
   for (const auto& connection : this->connections) {
-    connection->StopKeeping();
+    connection->DisableKeepAlive();
   }
 }
 
--- a/Zincstep/Net/CallerConnection.h
+++ b/Zincstep/Net/CallerConnection.h
@@ -30,7 +30,7 @@
   virtual void OnRequest(const std::shared_ptr<CallerConnection>& aConnection,
                          CallerMessage aMessage) = 0;
   /// The caller has left before its request was answered.
-  virtual void OnCallerGone(CallerConnection& aConnection) = 0;
+  virtual void OnCallerDisconnected(CallerConnection& aConnection) = 0;
 };
 
 /// One connection of a caller; one request at a time.
@@ -63,7 +63,7 @@
   /// Closes once the present answer is out, or now where none is due.
   void CloseWhenDone();
   /// The next answer is the connection's last.
-  void StopKeeping() { this->closesAfter = true; }
+  void DisableKeepAlive() { this->closesAfter = true; }
   /// Closes where a limit of time has passed.
   void CheckTimeouts(Instant aNow);
 
@@ -119,9 +119,9 @@
   /// New limits, in force for all connections.
   void SetLimits(const CallerLimits& aLimits) { this->limits = aLimits; }
   /// Closes resting connections and ends the others after their answer.
-  void CloseResting();
+  void CloseIdle();
   /// Each connection closes after its next answer, which says so.
-  void StopKeeping();
+  void DisableKeepAlive();
   /// Enforces limits of time; to be called several times a second.
   void Tick();
   /// Requests that wait for their answer.
--- a/Zincstep/Net/ConnectionPool.cpp
+++ b/Zincstep/Net/ConnectionPool.cpp
@@ -62,30 +62,30 @@
                          const HttpHead& aHead) {
   const Instant now = this->clock.Now();
   this->Sweep(now);
-  const auto distrusted = this->distrustedUntil.find(aUpstream);
+  const auto distrusted = this->quarantinedUntil.find(aUpstream);
   const bool isDistrusted =
-      distrusted != this->distrustedUntil.end() && now < distrusted->second;
+      distrusted != this->quarantinedUntil.end() && now < distrusted->second;
   if (!aHead.keepsAlive || isDistrusted) {
     return;  // Closed by its end of life.
   }
-  Micros rest = this->settings.longestRest;
+  Micros rest = this->settings.maxIdleTime;
   if (const auto kept = KeptTime(aHead)) {
     rest = std::min(rest,
                     FromSeconds(ToSeconds(*kept) * this->settings.keptShare));
   }
   std::vector<Rest>& resting = this->byUpstream[aUpstream];
-  if (resting.size() < this->settings.mostResting) {
+  if (resting.size() < this->settings.maxIdleConnections) {
     resting.push_back({std::move(aSocket), now + rest});
   }
 }
 
 void ConnectionPool::Distrust(const std::string& aUpstream) {
   this->byUpstream.erase(aUpstream);
-  this->distrustedUntil[aUpstream] =
-      this->clock.Now() + this->settings.distrustTime;
+  this->quarantinedUntil[aUpstream] =
+      this->clock.Now() + this->settings.quarantineTime;
 }
 
-std::size_t ConnectionPool::Resting() const {
+std::size_t ConnectionPool::IdleCount() const {
   std::size_t sum = 0;
   for (const auto& [upstream, resting] : this->byUpstream) {
     sum += resting.size();
@@ -104,7 +104,7 @@
   }
   std::erase_if(this->byUpstream,
                 [](const auto& aEntry) { return aEntry.second.empty(); });
-  std::erase_if(this->distrustedUntil,
+  std::erase_if(this->quarantinedUntil,
                 [aNow](const auto& aEntry) { return aNow >= aEntry.second; });
 }
 
--- a/Zincstep/Net/ConnectionPool.h
+++ b/Zincstep/Net/ConnectionPool.h
@@ -15,17 +15,17 @@
   /// Longest time that a connection rests: the longer, the more often it has
   /// been closed or has fallen silent meanwhile. At the users' sizes the next
   /// call to a first upstream comes within 0.1 to 1.5 s.
-  Micros longestRest = 3s;
+  Micros maxIdleTime = 3s;
   /// Part of the time that the other side keeps a resting connection, as far as
   /// it tells: its close may be on the way.
   double keptShare = 0.5;
   /// Connections that rest for one upstream, which accepts about a thousand
   /// from all daemons together. Ends and beginnings of streams alternate at
   /// random: with 4, a quarter of the calls found none (actas-lima quiet-1).
-  std::size_t mostResting = 12;
+  std::size_t maxIdleConnections = 12;
   /// After a connection turned out to be unfit, none is kept for that upstream
   /// for so long: what has gone wrong there goes on for some seconds.
-  Micros distrustTime = 4s;
+  Micros quarantineTime = 4s;
 };
 
 /// Connections to upstreams that rest between two calls.
@@ -49,7 +49,7 @@
   /// Closes all that rest: nobody knows what has become of them.
   void Clear() { this->byUpstream.clear(); }
   /// Connections that rest.
-  std::size_t Resting() const;
+  std::size_t IdleCount() const;
 
  private:
   struct Rest {
@@ -63,7 +63,7 @@
   ConnectionPoolSettings settings;
   const Clock& clock;
   std::map<std::string, std::vector<Rest>> byUpstream;
-  std::map<std::string, Instant> distrustedUntil;
+  std::map<std::string, Instant> quarantinedUntil;
   Instant nextSweep{};
 };
 
--- a/Zincstep/Net/CurlClient.cpp
+++ b/Zincstep/Net/CurlClient.cpp
@@ -138,7 +138,7 @@
   }
 
   CURLM* multi;
-  Doorbell doorbell;
+  WakeEvent doorbell;
   Channel<Order> orders;
   std::atomic<CallId> lastCall{0};
   std::atomic<bool> stopping{false};
--- a/Zincstep/Net/CurlTransfer.cpp
+++ b/Zincstep/Net/CurlTransfer.cpp
@@ -121,7 +121,7 @@
   return std::move(this->result);
 }
 
-HttpCallResult FetchNow(const HttpCall& aCall) {
+HttpCallResult FetchBlocking(const HttpCall& aCall) {
   CurlTransfer transfer(aCall, nullptr);
   return transfer.Finish(curl_easy_perform(transfer.Handle()));
 }
--- a/Zincstep/Net/HttpClient.h
+++ b/Zincstep/Net/HttpClient.h
@@ -82,6 +82,6 @@
 std::unique_ptr<HttpClient> MakeHttpClient();
 
 /// Makes one call and waits for its end.
-HttpCallResult FetchNow(const HttpCall& aCall);
+HttpCallResult FetchBlocking(const HttpCall& aCall);
 
 }  // namespace zincstep
--- a/Zincstep/Net/HttpMessage.h
+++ b/Zincstep/Net/HttpMessage.h
@@ -38,7 +38,7 @@
 };
 
 /// A complete answer.
-struct HttpAnswer {
+struct HttpResponse {
   int status = 200;
   HttpHeaders headers;
   std::string body;
--- a/Zincstep/Net/HttpServer.h
+++ b/Zincstep/Net/HttpServer.h
@@ -18,7 +18,7 @@
   virtual void OnRequest(HttpRequest aRequest) = 0;
 
   /// The caller of an open exchange has gone; an answer goes nowhere.
-  virtual void OnCallerGone(ExchangeId aExchange) = 0;
+  virtual void OnCallerDisconnected(ExchangeId aExchange) = 0;
 };
 
 /// Settings of an HTTP server.
@@ -49,7 +49,7 @@
   virtual std::uint16_t Port() const = 0;
 
   /// Gives the whole answer of an exchange.
-  virtual void Respond(ExchangeId aExchange, HttpAnswer aAnswer) = 0;
+  virtual void Respond(ExchangeId aExchange, HttpResponse aAnswer) = 0;
   /// Begins an answer whose body comes in parts.
   virtual void StartStream(ExchangeId aExchange, int aStatus,
                            HttpHeaders aHeaders) = 0;
--- a/Zincstep/Net/RefusingSocket.cpp
+++ b/Zincstep/Net/RefusingSocket.cpp
@@ -13,27 +13,27 @@
 constexpr auto kSlowRequest = std::chrono::seconds(1);
 
 /// The refusal that fits what came of the message.
-HttpAnswer RefusalFor(const ConnectionState& aState) {
+HttpResponse RefusalFor(const ConnectionState& aState) {
   const auto waited = std::chrono::steady_clock::now() - aState.firstByte;
   const bool headEnded = aState.head.find("\r\n\r\n") != std::string::npos;
   if (waited > kSlowRequest) {
-    HttpAnswer answer = RefusalAnswer(
+    HttpResponse answer = ErrorResponse(
         {ErrorKind::BadRequest, "the request did not come in time", {}});
     answer.status = 408;
     return answer;
   }
   if (!headEnded && aState.unparsedBytes >= (4 << 10)) {
-    HttpAnswer answer = RefusalAnswer(
+    HttpResponse answer = ErrorResponse(
         {ErrorKind::RequestTooLarge, "the header fields are too large", {}});
     answer.status = 431;
     return answer;
   }
-  return RefusalAnswer({ErrorKind::BadRequest,
+  return ErrorResponse({ErrorKind::BadRequest,
                         "the message is not valid HTTP/1.1 or passes a limit",
                         {}});
 }
 
-std::string Serialize(const HttpAnswer& aAnswer) {
+std::string Serialize(const HttpResponse& aAnswer) {
   std::string text =
       "HTTP/1.1 " + std::to_string(aAnswer.status) + " Refused\r\n";
   for (const HttpHeader& header : aAnswer.headers) {
--- a/Zincstep/Net/RestinioServer.cpp
+++ b/Zincstep/Net/RestinioServer.cpp
@@ -44,7 +44,7 @@
   Result<void> Start() override;
   void Stop() override;
   std::uint16_t Port() const override { return this->port; }
-  void Respond(ExchangeId aExchange, HttpAnswer aAnswer) override;
+  void Respond(ExchangeId aExchange, HttpResponse aAnswer) override;
   void StartStream(ExchangeId aExchange, int aStatus,
                    HttpHeaders aHeaders) override;
   void Append(ExchangeId aExchange, std::string aPart) override;
@@ -56,7 +56,7 @@
   restinio::request_handling_status_t OnRequest(
       const restinio::request_handle_t& aRequest);
   Result<void> CheckLimits(const HttpRequest& aRequest) const;
-  void Answer(Exchange& aExchange, const HttpAnswer& aAnswer);
+  void Answer(Exchange& aExchange, const HttpResponse& aAnswer);
   void Forget(ExchangeId aExchange);
   void OnClosed(ExchangeId aExchange);
 
@@ -174,7 +174,7 @@
       this->exchanges.emplace(id, std::move(exchange)).first->second;
   const Result<void> fits = this->CheckLimits(request);
   if (!fits) {
-    HttpAnswer refusal = RefusalAnswer(fits.error());
+    HttpResponse refusal = ErrorResponse(fits.error());
     const bool headersTooLarge =
         request.headers.size() > this->settings.maxHeaderFields;
     refusal.status = headersTooLarge ? 431 : refusal.status;
@@ -203,7 +203,7 @@
   return {};
 }
 
-void RestinioServer::Answer(Exchange& aExchange, const HttpAnswer& aAnswer) {
+void RestinioServer::Answer(Exchange& aExchange, const HttpResponse& aAnswer) {
   auto response =
       aExchange.request->create_response(restinio::http_status_line_t{
           restinio::http_status_code_t{
@@ -230,11 +230,11 @@
 void RestinioServer::OnClosed(ExchangeId aExchange) {
   if (this->exchanges.contains(aExchange)) {
     this->Forget(aExchange);
-    this->listener.OnCallerGone(aExchange);
+    this->listener.OnCallerDisconnected(aExchange);
   }
 }
 
-void RestinioServer::Respond(ExchangeId aExchange, HttpAnswer aAnswer) {
+void RestinioServer::Respond(ExchangeId aExchange, HttpResponse aAnswer) {
   this->OnThread(aExchange, [this, aExchange,
                              answer = std::move(aAnswer)](Exchange& aOpen) {
     this->Answer(aOpen, answer);
--- a/Zincstep/Net/SingleCall.cpp
+++ b/Zincstep/Net/SingleCall.cpp
@@ -27,8 +27,8 @@
                         public std::enable_shared_from_this<WholeCall> {
  public:
   WholeCall(asio::io_context& aLoop, const SingleCall::Endpoint& aEndpoint,
-            std::string aRequest, std::optional<KeptConnections> aKept,
-            std::function<void(Result<HttpAnswer>)> aDone)
+            std::string aRequest, std::optional<PooledConnections> aKept,
+            std::function<void(Result<HttpResponse>)> aDone)
       : loop(aLoop),
         endpoint(aEndpoint),
         request(std::move(aRequest)),
@@ -46,12 +46,12 @@
     this->Wait(first);
   }
 
-  void OnAnswerHead(HttpHead aHead) override {
+  void OnResponseHead(HttpHead aHead) override {
     this->answer.status = aHead.status;
     this->answer.headers = std::move(aHead.headers);
   }
 
-  void OnAnswerBody(std::string_view aPart) override {
+  void OnResponseBody(std::string_view aPart) override {
     if (this->answer.body.size() + aPart.size() <= kMaxWholeAnswer) {
       this->answer.body.append(aPart);
     }
@@ -68,12 +68,12 @@
     }
     this->Finish(Fail(aEnd == SingleCallEnd::NotConnected
                           ? ErrorKind::UpstreamUnreachable
-                          : ErrorKind::AnswerIncomplete,
+                          : ErrorKind::ResponseIncomplete,
                       std::string(NameIn(kSingleCallEndNames, aEnd))));
   }
 
  private:
-  void Send(std::optional<KeptConnections> aKept) {
+  void Send(std::optional<PooledConnections> aKept) {
     this->call = std::make_shared<SingleCall>(this->loop, *this);
     this->call->Start(this->endpoint, this->request, this->connectTimeout,
                       std::move(aKept));
@@ -95,7 +95,7 @@
       return;
     }
     if (this->call->IsReusedAndUnanswered()) {
-      this->call->DropKept("silent");
+      this->call->EvictPooled("silent");
       this->call->Cancel();
       this->Send(std::nullopt);
     }
@@ -112,7 +112,7 @@
                       "no answer in time"));
   }
 
-  void Finish(Result<HttpAnswer> aResult) {
+  void Finish(Result<HttpResponse> aResult) {
     const auto held = std::move(this->self);
     this->timer.cancel();
     if (held) {
@@ -123,15 +123,15 @@
   asio::io_context& loop;
   SingleCall::Endpoint endpoint;
   std::string request;
-  std::optional<KeptConnections> kept;
+  std::optional<PooledConnections> kept;
   /// Of the call's time, behind the part that is being waited for.
   Micros left{0};
   Micros connectTimeout{0};
   std::shared_ptr<SingleCall> call;
   asio::steady_timer timer;
-  std::function<void(Result<HttpAnswer>)> done;
+  std::function<void(Result<HttpResponse>)> done;
   std::shared_ptr<WholeCall> self;
-  HttpAnswer answer;
+  HttpResponse answer;
 };
 
 }  // namespace
@@ -144,7 +144,7 @@
 
 void SingleCall::Start(const Endpoint& aEndpoint, std::string aRequest,
                        Micros aConnectTimeout,
-                       std::optional<KeptConnections> aKept) {
+                       std::optional<PooledConnections> aKept) {
   this->request = std::move(aRequest);
   this->kept = std::move(aKept);
   auto resting =
@@ -228,7 +228,7 @@
   if (this->listener == nullptr) {
     return;
   }
-  this->listener->OnAnswerPause();
+  this->listener->OnResponsePause();
   if (this->listener == nullptr) {
     return;
   }
@@ -254,13 +254,13 @@
     this->answerHead = aHead;
   }
   if (this->listener != nullptr) {
-    this->listener->OnAnswerHead(std::move(aHead));
+    this->listener->OnResponseHead(std::move(aHead));
   }
 }
 
 void SingleCall::OnBody(std::string_view aPart) {
   if (this->listener != nullptr) {
-    this->listener->OnAnswerBody(aPart);
+    this->listener->OnResponseBody(aPart);
   }
 }
 
@@ -278,7 +278,7 @@
   this->socket.close(ignored);
 }
 
-void SingleCall::DropKept(const char* aReason) {
+void SingleCall::EvictPooled(const char* aReason) {
   // Others that rest there may have gone the same way, and each would cost a
   // request the time until that shows.
   LogInfo("kept_connection_unfit",
@@ -292,16 +292,17 @@
     return;
   }
   if (aEnd == SingleCallEnd::Broken && this->IsReusedAndUnanswered()) {
-    this->DropKept("broken");
+    this->EvictPooled("broken");
   }
   this->Cancel();
   told->OnCallEnd(aEnd);
 }
 
-void FetchWhole(asio::io_context& aLoop, const SingleCall::Endpoint& aEndpoint,
-                std::string aRequest, Micros aTimeout,
-                std::function<void(Result<HttpAnswer>)> aDone,
-                std::optional<KeptConnections> aKept) {
+void FetchResponse(asio::io_context& aLoop,
+                   const SingleCall::Endpoint& aEndpoint, std::string aRequest,
+                   Micros aTimeout,
+                   std::function<void(Result<HttpResponse>)> aDone,
+                   std::optional<PooledConnections> aKept) {
   std::make_shared<WholeCall>(aLoop, aEndpoint, std::move(aRequest),
                               std::move(aKept), std::move(aDone))
       ->Start(aTimeout);
--- a/Zincstep/Net/SingleCall.h
+++ b/Zincstep/Net/SingleCall.h
@@ -38,17 +38,17 @@
   virtual ~SingleCallListener() = default;
 
   /// The head of the answer has come.
-  virtual void OnAnswerHead(HttpHead aHead) = 0;
+  virtual void OnResponseHead(HttpHead aHead) = 0;
   /// A part of its body has come.
-  virtual void OnAnswerBody(std::string_view aPart) = 0;
+  virtual void OnResponseBody(std::string_view aPart) = 0;
   /// All bytes that lay ready have been told: a time to pass them on.
-  virtual void OnAnswerPause() {}
+  virtual void OnResponsePause() {}
   /// The call has ended; the last that is told.
   virtual void OnCallEnd(SingleCallEnd aEnd) = 0;
 };
 
 /// Where a call may find a connection that is kept, and leave its own.
-struct KeptConnections {
+struct PooledConnections {
   ConnectionPool* pool = nullptr;
   /// Of the upstream that is called, for this incarnation alone.
   std::string upstream;
@@ -75,12 +75,12 @@
   /// Connects within `aConnectTimeout` and sends `aRequest`.
   void Start(const Endpoint& aEndpoint, std::string aRequest,
              Micros aConnectTimeout,
-             std::optional<KeptConnections> aKept = std::nullopt);
+             std::optional<PooledConnections> aKept = std::nullopt);
   /// Closes the connection at once; nothing more is told.
   void Cancel();
   /// The kept connection that it went on is unfit: those of the same upstream
   /// are not used any more.
-  void DropKept(const char* aReason);
+  void EvictPooled(const char* aReason);
   /// Stops or resumes reading, so that a slow reader holds up the writer.
   void SetReading(bool aReads);
 
@@ -110,7 +110,7 @@
   HttpParser parser;
   std::string request;
   std::array<char, 8 << 10> buffer{};
-  std::optional<KeptConnections> kept;
+  std::optional<PooledConnections> kept;
   /// Of the answer; without what was told of it.
   HttpHead answerHead;
   bool isReused = false;
@@ -123,12 +123,13 @@
 ///
 /// `aTimeout` bounds the whole call. Fails with `UpstreamUnreachable`
 /// where nothing was sent, else with `DeadlineDuringRun` where no answer came
-/// in time, and with `AnswerIncomplete` where the connection broke. With
+/// in time, and with `ResponseIncomplete` where the connection broke. With
 /// `aKept` the request is sent again, on a new connection, where a kept one
 /// breaks or says nothing.
-void FetchWhole(asio::io_context& aLoop, const SingleCall::Endpoint& aEndpoint,
-                std::string aRequest, Micros aTimeout,
-                std::function<void(Result<HttpAnswer>)> aDone,
-                std::optional<KeptConnections> aKept = std::nullopt);
+void FetchResponse(asio::io_context& aLoop,
+                   const SingleCall::Endpoint& aEndpoint, std::string aRequest,
+                   Micros aTimeout,
+                   std::function<void(Result<HttpResponse>)> aDone,
+                   std::optional<PooledConnections> aKept = std::nullopt);
 
 }  // namespace zincstep
--- a/Zincstep/Once/Claim.h
+++ b/Zincstep/Once/Claim.h
@@ -32,7 +32,7 @@
 }};
 
 /// An answer that is kept for callers who repeat their key.
-struct KeptAnswer {
+struct CachedResponse {
   int status = 0;
   std::string contentType;
   std::string body;
@@ -48,7 +48,7 @@
   std::uint64_t digest = 0;
   Claimant claimant;
   ClaimState state = ClaimState::Claimed;
-  KeptAnswer answer;
+  CachedResponse answer;
 };
 
 /// A witness' answer to a claim.
@@ -57,7 +57,7 @@
     /// The key is this claimant's, as far as the witness knows.
     Granted,
     /// The key is another's; `claim` says whose.
-    Held,
+    HeldByOther,
     /// The witness knows a newer list of members than the claimant.
     StaleMembers,
     /// The witness has no room for a further key.
@@ -71,15 +71,15 @@
 
 inline constexpr NameTable<ClaimVote::Kind, 5> kVoteNames{{
     {ClaimVote::Kind::Granted, "granted"},
-    {ClaimVote::Kind::Held, "held"},
+    {ClaimVote::Kind::HeldByOther, "held"},
     {ClaimVote::Kind::StaleMembers, "stale_members"},
     {ClaimVote::Kind::Full, "full"},
     {ClaimVote::Kind::Closed, "closed"},
 }};
 
 /// Time for which a key is remembered after its last change.
-inline constexpr Micros kKeyMemory = 600s;
+inline constexpr Micros kKeyRetention = 600s;
 /// Largest answer body that is kept for repeats.
-inline constexpr std::size_t kKeptAnswerBytes = 8 << 10;
+inline constexpr std::size_t kMaxCachedResponseBytes = 8 << 10;
 
 }  // namespace zincstep
--- a/Zincstep/Once/ClaimRound.cpp
+++ b/Zincstep/Once/ClaimRound.cpp
@@ -66,9 +66,10 @@
     return std::nullopt;
   }
   if (this->sawHolder) {
-    return this->Settle(ClaimVerdict::Held);
+    return this->Settle(ClaimVerdict::HeldByOther);
   }
-  return this->Settle(this->sawFull ? ClaimVerdict::Full : ClaimVerdict::Doubt);
+  return this->Settle(this->sawFull ? ClaimVerdict::Full
+                                    : ClaimVerdict::NoQuorum);
 }
 
 std::optional<ClaimVerdict> ClaimRound::OnVote(const std::string& aMember,
@@ -87,11 +88,11 @@
   if (aNow >= this->deadline) {
     return this->OnTimeout();
   }
-  if (aVote.kind == ClaimVote::Kind::Held) {
+  if (aVote.kind == ClaimVote::Kind::HeldByOther) {
     this->holder = aVote.claim;
     this->sawHolder = true;
     if (aVote.claim.state != ClaimState::Claimed) {
-      return this->Settle(ClaimVerdict::Held);
+      return this->Settle(ClaimVerdict::HeldByOther);
     }
     // A mere claim may be one that is losing this very moment: only a
     // majority decides.
@@ -111,7 +112,7 @@
   if (this->verdict) {
     return std::nullopt;
   }
-  return this->Settle(ClaimVerdict::Doubt);
+  return this->Settle(ClaimVerdict::NoQuorum);
 }
 
 }  // namespace zincstep
--- a/Zincstep/Once/ClaimRound.h
+++ b/Zincstep/Once/ClaimRound.h
@@ -15,9 +15,9 @@
   /// The request may be run, and nobody else may run it.
   Won,
   /// Another run of the key is there; the claim says how far it is.
-  Held,
+  HeldByOther,
   /// Too few witnesses have answered: the request was not run.
-  Doubt,
+  NoQuorum,
   /// The witnesses have no room for the key.
   Full,
 };
@@ -53,7 +53,7 @@
   /// The time for votes is over.
   std::optional<ClaimVerdict> OnTimeout();
 
-  /// The run that holds the key, after `Held`.
+  /// The run that holds the key, after `HeldByOther`.
   const Claim& Holder() const { return this->holder; }
   /// Members whose grants have to be released, after any verdict but `Won`.
   std::vector<std::string> Granted() const;
--- a/Zincstep/Once/WitnessTable.cpp
+++ b/Zincstep/Once/WitnessTable.cpp
@@ -36,7 +36,8 @@
     const Claim& held = found->second.claim;
     const bool mine =
         held.claimant == aClaim.claimant && held.state == ClaimState::Claimed;
-    return {mine ? ClaimVote::Kind::Granted : ClaimVote::Kind::Held, held};
+    return {mine ? ClaimVote::Kind::Granted : ClaimVote::Kind::HeldByOther,
+            held};
   }
   if (this->bytes + SizeOf(aClaim) > this->settings.maxBytes) {
     return {ClaimVote::Kind::Full, {}};
--- a/Zincstep/Once/WitnessTable.h
+++ b/Zincstep/Once/WitnessTable.h
@@ -11,7 +11,7 @@
 
 /// Settings of a witness table.
 struct WitnessTableSettings {
-  Micros memory = kKeyMemory;
+  Micros memory = kKeyRetention;
   /// Bytes that all keys together may take.
   std::size_t maxBytes = 64 << 20;
 };
--- a/Zincstep/Peer/AsioPeerHub.cpp
+++ b/Zincstep/Peer/AsioPeerTransport.cpp
@@ -7,7 +7,7 @@
 #include <unordered_map>
 
 #include "Zincstep/Net/TcpSocket.h"
-#include "Zincstep/Peer/PeerHub.h"
+#include "Zincstep/Peer/PeerTransport.h"
 #include "Zincstep/Telemetry/Telemetry.h"
 
 namespace zincstep {
@@ -47,8 +47,8 @@
   std::atomic<std::uint64_t> messagesIn{0};
   std::atomic<std::uint64_t> dropped{0};
   std::atomic<std::uint64_t> connects{0};
-  std::atomic<std::uint64_t> heldBytes{0};
-  std::atomic<std::uint64_t> untakenBytes{0};
+  std::atomic<std::uint64_t> totalQueuedBytes{0};
+  std::atomic<std::uint64_t> unconsumedBytes{0};
 };
 
 /// Bytes that wait to be sent; what several peers are sent counts once.
@@ -56,27 +56,27 @@
  public:
   explicit HeldBytes(SharedTraffic& aTraffic) : traffic(aTraffic) {}
 
-  void Add(const PeerText& aMessage) {
-    this->traffic.heldBytes += aMessage.head.size();
+  void Add(const PeerFrame& aMessage) {
+    this->traffic.totalQueuedBytes += aMessage.head.size();
     for (const SharedBytes& bytes : aMessage.shared) {
       if (++this->holders[bytes.get()] == 1) {
-        this->traffic.heldBytes += bytes->size();
+        this->traffic.totalQueuedBytes += bytes->size();
       }
     }
   }
 
-  void Remove(const PeerText& aMessage) {
-    this->traffic.heldBytes -= aMessage.head.size();
+  void Remove(const PeerFrame& aMessage) {
+    this->traffic.totalQueuedBytes -= aMessage.head.size();
     for (const SharedBytes& bytes : aMessage.shared) {
       const auto found = this->holders.find(bytes.get());
       if (--found->second == 0) {
-        this->traffic.heldBytes -= bytes->size();
+        this->traffic.totalQueuedBytes -= bytes->size();
         this->holders.erase(found);
       }
     }
   }
 
-  std::size_t Sum() const { return this->traffic.heldBytes; }
+  std::size_t Sum() const { return this->traffic.totalQueuedBytes; }
 
  private:
   SharedTraffic& traffic;
@@ -87,7 +87,7 @@
 /// A connection that a peer opened: it only receives.
 class Receiver : public std::enable_shared_from_this<Receiver> {
  public:
-  Receiver(Tcp::socket aSocket, const PeerHubSettings& aSettings,
+  Receiver(Tcp::socket aSocket, const PeerTransportSettings& aSettings,
            PeerListener& aListener, SharedTraffic& aTraffic)
       : socket(std::move(aSocket)),
         timer(this->socket.get_executor()),
@@ -99,8 +99,8 @@
 
  private:
   bool MustWait() const {
-    return this->settings.maxUntakenBytes > 0 &&
-           this->traffic.untakenBytes > this->settings.maxUntakenBytes;
+    return this->settings.maxUnconsumedBytes > 0 &&
+           this->traffic.unconsumedBytes > this->settings.maxUnconsumedBytes;
   }
 
   void ReadLater() {
@@ -153,7 +153,7 @@
                        self->traffic.bytesIn +=
                            self->body.size() + kLengthBytes;
                        self->traffic.messagesIn += 1;
-                       self->traffic.untakenBytes += self->body.size();
+                       self->traffic.unconsumedBytes += self->body.size();
                        self->listener.OnPeerData(std::move(self->body));
                        self->body = std::string();
                        self->ReadHead();
@@ -162,7 +162,7 @@
 
   Tcp::socket socket;
   asio::steady_timer timer;
-  const PeerHubSettings& settings;
+  const PeerTransportSettings& settings;
   PeerListener& listener;
   SharedTraffic& traffic;
   std::array<unsigned char, kLengthBytes> head{};
@@ -173,7 +173,7 @@
 class Sender : public std::enable_shared_from_this<Sender> {
  public:
   Sender(asio::io_context& aLoop, Tcp::endpoint aPeer,
-         const PeerHubSettings& aSettings, SharedTraffic& aTraffic,
+         const PeerTransportSettings& aSettings, SharedTraffic& aTraffic,
          HeldBytes& aHeld, Random& aRandom)
       : socket(aLoop),
         timer(aLoop),
@@ -182,9 +182,9 @@
         traffic(aTraffic),
         held(aHeld),
         random(aRandom),
-        pause(aSettings.firstReconnect) {}
+        pause(aSettings.initialReconnectBackoff) {}
 
-  void Send(PeerText aMessage) {
+  void Send(PeerFrame aMessage) {
     const std::size_t size = aMessage.Size() + kLengthBytes;
     if (this->queuedBytes + size > this->settings.maxQueuedBytes) {
       this->traffic.dropped += 1;
@@ -255,7 +255,7 @@
 
   void OnOpen() {
     this->state = State::Open;
-    this->pause = this->settings.firstReconnect;
+    this->pause = this->settings.initialReconnectBackoff;
     asio::error_code ignored;
     SetSocketOptions(this->socket, this->settings.unacknowledged);
     this->WatchClose();
@@ -278,12 +278,12 @@
         });
   }
 
-  static std::size_t SizeOf(const PeerText& aMessage) {
+  static std::size_t SizeOf(const PeerFrame& aMessage) {
     return aMessage.Size() + kLengthBytes;
   }
 
   void Write() {
-    const PeerText& message = this->queue.front();
+    const PeerFrame& message = this->queue.front();
     this->writing = true;
     this->length = WriteLength(message.Size());
     this->parts.assign(
@@ -340,7 +340,7 @@
     const double share = 0.5 + this->random.Unit() / 2;
     this->timer.expires_after(Micros{static_cast<std::int64_t>(
         share * static_cast<double>(this->pause.count()))});
-    this->pause = std::min(2 * this->pause, this->settings.longestReconnect);
+    this->pause = std::min(2 * this->pause, this->settings.maxReconnectBackoff);
     auto self = this->shared_from_this();
     this->timer.async_wait([self](const asio::error_code& aError) {
       if (aError) {
@@ -356,13 +356,13 @@
   Tcp::socket socket;
   asio::steady_timer timer;
   Tcp::endpoint peer;
-  const PeerHubSettings& settings;
+  const PeerTransportSettings& settings;
   SharedTraffic& traffic;
   HeldBytes& held;
   Random& random;
   State state = State::Closed;
   Micros pause;
-  std::deque<PeerText> queue;
+  std::deque<PeerFrame> queue;
   std::size_t queuedBytes = 0;
   /// Of the message that is on its way.
   std::vector<asio::const_buffer> parts;
@@ -371,16 +371,16 @@
   bool writing = false;
 };
 
-class AsioPeerHub final : public PeerHub {
+class AsioPeerTransport final : public PeerTransport {
  public:
-  AsioPeerHub(PeerHubSettings aSettings, PeerListener& aListener)
+  AsioPeerTransport(PeerTransportSettings aSettings, PeerListener& aListener)
       : settings(std::move(aSettings)),
         listener(aListener),
         random(this->settings.seed),
         work(asio::make_work_guard(this->loop)),
         acceptor(this->loop) {}
 
-  ~AsioPeerHub() override { this->Stop(); }
+  ~AsioPeerTransport() override { this->Stop(); }
 
   Result<void> Start() override {
     const Result<Tcp::endpoint> endpoint = ParseEndpoint(this->settings.listen);
@@ -419,7 +419,7 @@
 
   std::uint16_t Port() const override { return this->port; }
 
-  void Send(const std::string& aAddress, PeerText aMessage) override {
+  void Send(const std::string& aAddress, PeerFrame aMessage) override {
     asio::post(
         this->loop, [this, aAddress, message = std::move(aMessage)]() mutable {
           this->MakeRoom(message.Size());
@@ -441,20 +441,20 @@
   }
 
   void OnTaken(std::size_t aBytes) override {
-    this->traffic.untakenBytes -= aBytes;
+    this->traffic.unconsumedBytes -= aBytes;
   }
 
   PeerTraffic Traffic() const override {
-    return {this->traffic.bytesOut,    this->traffic.bytesIn,
-            this->traffic.messagesOut, this->traffic.messagesIn,
-            this->traffic.dropped,     this->traffic.connects,
-            this->traffic.heldBytes,   this->traffic.untakenBytes};
+    return {this->traffic.bytesOut,         this->traffic.bytesIn,
+            this->traffic.messagesOut,      this->traffic.messagesIn,
+            this->traffic.dropped,          this->traffic.connects,
+            this->traffic.totalQueuedBytes, this->traffic.unconsumedBytes};
   }
 
  private:
   /// Drops what waits longest in bytes until so many more may be held.
   void MakeRoom(std::size_t aBytes) {
-    while (this->held.Sum() + aBytes > this->settings.maxHeldBytes) {
+    while (this->held.Sum() + aBytes > this->settings.maxTotalQueuedBytes) {
       const auto most =
           std::max_element(this->senders.begin(), this->senders.end(),
                            [](const auto& aOne, const auto& aOther) {
@@ -483,7 +483,7 @@
         });
   }
 
-  PeerHubSettings settings;
+  PeerTransportSettings settings;
   PeerListener& listener;
   Random random;
   SharedTraffic traffic;
@@ -498,7 +498,7 @@
 
 }  // namespace
 
-std::size_t PeerText::Size() const {
+std::size_t PeerFrame::Size() const {
   std::size_t size = this->head.size();
   for (const SharedBytes& bytes : this->shared) {
     size += bytes->size();
@@ -506,7 +506,7 @@
   return size;
 }
 
-std::string PeerText::Whole() const {
+std::string PeerFrame::Whole() const {
   std::string text = this->head;
   for (const SharedBytes& bytes : this->shared) {
     text += *bytes;
@@ -514,9 +514,9 @@
   return text;
 }
 
-std::unique_ptr<PeerHub> MakePeerHub(PeerHubSettings aSettings,
-                                     PeerListener& aListener) {
-  return std::make_unique<AsioPeerHub>(std::move(aSettings), aListener);
+std::unique_ptr<PeerTransport> MakePeerTransport(
+    PeerTransportSettings aSettings, PeerListener& aListener) {
+  return std::make_unique<AsioPeerTransport>(std::move(aSettings), aListener);
 }
 
 }  // namespace zincstep
--- a/Zincstep/Peer/Peer.h
+++ b/Zincstep/Peer/Peer.h
@@ -3,5 +3,5 @@
 /// \file
 /// Public header of the peer library: messages between entry daemons.
 
-#include "Zincstep/Peer/PeerHub.h"
 #include "Zincstep/Peer/PeerMessage.h"
+#include "Zincstep/Peer/PeerTransport.h"
--- a/Zincstep/Peer/PeerHub.h
+++ b/Zincstep/Peer/PeerTransport.h
@@ -14,7 +14,7 @@
 
 /// A message as it is sent: what is written for one peer, and behind it what
 /// others are sent as well.
-struct PeerText {
+struct PeerFrame {
   std::string head;
   std::vector<SharedBytes> shared;
 
@@ -33,7 +33,7 @@
 };
 
 /// Settings of a peer hub.
-struct PeerHubSettings {
+struct PeerTransportSettings {
   /// host:port to listen on.
   std::string listen = "127.0.0.1:0";
   std::size_t maxMessageBytes = 8 << 20;
@@ -42,13 +42,13 @@
   /// Bytes that may wait for all peers, where what several are sent counts
   /// once. At the bound the peer for which most waits loses it: it does not
   /// read, and what it is told is out of date when it does.
-  std::size_t maxHeldBytes = 64 << 20;
+  std::size_t maxTotalQueuedBytes = 64 << 20;
   /// Bytes of messages that the listener has not taken yet, see
-  /// `PeerHub::OnTaken`. Beyond that nothing more is read, which holds up those
-  /// that send. 0: without bound, for a listener that does not tell.
-  std::size_t maxUntakenBytes = 0;
-  Micros firstReconnect = 100ms;
-  Micros longestReconnect = 5s;
+  /// `PeerTransport::OnTaken`. Beyond that nothing more is read, which holds up
+  /// those that send. 0: without bound, for a listener that does not tell.
+  std::size_t maxUnconsumedBytes = 0;
+  Micros initialReconnectBackoff = 100ms;
+  Micros maxReconnectBackoff = 5s;
   /// A connection that is not up by then is given up: an opening packet that
   /// was lost to a VM without power comes again after a second at the
   /// earliest, and each time later.
@@ -70,9 +70,9 @@
   std::uint64_t dropped = 0;
   std::uint64_t connects = 0;
   /// Bytes that wait to be sent now.
-  std::uint64_t heldBytes = 0;
+  std::uint64_t totalQueuedBytes = 0;
   /// Bytes that the listener has not taken yet.
-  std::uint64_t untakenBytes = 0;
+  std::uint64_t unconsumedBytes = 0;
 };
 
 /// Carries messages between entry daemons over TCP, on one thread.
@@ -82,9 +82,9 @@
 /// Connections open when there is something to send, and again after a
 /// pause that doubles and is drawn at random, so that the return of a
 /// whole domain makes no storm.
-class PeerHub {
+class PeerTransport {
  public:
-  virtual ~PeerHub() = default;
+  virtual ~PeerTransport() = default;
 
   /// Starts to listen; fails where the address is taken.
   virtual Result<void> Start() = 0;
@@ -93,9 +93,9 @@
   /// Port that is listened on.
   virtual std::uint16_t Port() const = 0;
   /// Sends to host:port; may be lost, as anything over a network.
-  virtual void Send(const std::string& aAddress, PeerText aMessage) = 0;
+  virtual void Send(const std::string& aAddress, PeerFrame aMessage) = 0;
   void Send(const std::string& aAddress, std::string aMessage) {
-    this->Send(aAddress, PeerText{std::move(aMessage), {}});
+    this->Send(aAddress, PeerFrame{std::move(aMessage), {}});
   }
   /// The listener is done with a message of so many bytes.
   virtual void OnTaken(std::size_t aBytes) = 0;
@@ -104,7 +104,7 @@
 };
 
 /// A hub by Asio.
-std::unique_ptr<PeerHub> MakePeerHub(PeerHubSettings aSettings,
-                                     PeerListener& aListener);
+std::unique_ptr<PeerTransport> MakePeerTransport(
+    PeerTransportSettings aSettings, PeerListener& aListener);
 
 }  // namespace zincstep
--- a/Zincstep/Platform/HttpPlatform.cpp
+++ b/Zincstep/Platform/HttpPlatform.cpp
@@ -30,7 +30,7 @@
     call.headers = {{"User-Agent", this->settings.userAgent}};
     call.body = std::move(aBody);
     call.timeout = this->settings.timeout + aExtra;
-    return FetchNow(call);
+    return FetchBlocking(call);
   }
 
   static tl::unexpected<Error> Unavailable(const HttpCallResult& aResult) {
@@ -43,7 +43,7 @@
 
   /// Runs `aRead` on the body of an answer.
   template <class T, class Read>
-  static Result<T> ReadAnswer(const HttpCallResult& aResult, Read aRead) {
+  static Result<T> ReadResponse(const HttpCallResult& aResult, Read aRead) {
     if (aResult.end != CallEnd::Answered || aResult.status != kOk) {
       return Unavailable(aResult);
     }
@@ -83,7 +83,7 @@
       }
       return values;
     };
-    return HttpPlatform::ReadAnswer<std::vector<KeyedValue>>(result, read);
+    return HttpPlatform::ReadResponse<std::vector<KeyedValue>>(result, read);
   }
 
   Result<std::optional<std::uint64_t>> CompareAndSwap(const std::string& aKey,
@@ -100,7 +100,8 @@
     const auto read = [](const Json& aJson) {
       return std::optional(aJson.at("revision").get<std::uint64_t>());
     };
-    return HttpPlatform::ReadAnswer<std::optional<std::uint64_t>>(result, read);
+    return HttpPlatform::ReadResponse<std::optional<std::uint64_t>>(result,
+                                                                    read);
   }
 
   Result<bool> Remove(const std::string& aKey,
@@ -123,7 +124,7 @@
     const auto read = [](const Json& aJson) {
       return aJson.at("lease").get<LeaseId>();
     };
-    return HttpPlatform::ReadAnswer<LeaseId>(result, read);
+    return HttpPlatform::ReadResponse<LeaseId>(result, read);
   }
 
   Result<void> RenewLease(LeaseId aLease) override {
@@ -153,7 +154,8 @@
     const auto read = [](const Json& aJson) {
       return std::optional(ValueFromJson(aJson));
     };
-    return HttpPlatform::ReadAnswer<std::optional<StoredValue>>(aResult, read);
+    return HttpPlatform::ReadResponse<std::optional<StoredValue>>(aResult,
+                                                                  read);
   }
 
   static Result<void> Nothing(const HttpCallResult& aResult) {
@@ -199,7 +201,7 @@
       newRevision = aJson.at("revision").get<std::uint64_t>();
       return entries;
     };
-    auto list = HttpPlatform::ReadAnswer<std::vector<VmEntry>>(result, read);
+    auto list = HttpPlatform::ReadResponse<std::vector<VmEntry>>(result, read);
     if (list) {
       this->last = *list;
       this->revision = newRevision;
@@ -271,7 +273,7 @@
   return std::make_unique<HttpKeyValueStore>(std::move(aSettings));
 }
 
-std::unique_ptr<KeyValueStore> MakePersistentReads(
+std::unique_ptr<KeyValueStore> MakeRetryingReads(
     std::unique_ptr<KeyValueStore> aStore, int aTries) {
   return std::make_unique<PersistentReads>(std::move(aStore), aTries);
 }
--- a/Zincstep/Platform/KeyValueStore.h
+++ b/Zincstep/Platform/KeyValueStore.h
@@ -104,7 +104,7 @@
     PlatformSettings aSettings);
 /// A store whose reads are tried up to `aTries` times, for a client whose
 /// user waits; daemons come back by themselves.
-std::unique_ptr<KeyValueStore> MakePersistentReads(
+std::unique_ptr<KeyValueStore> MakeRetryingReads(
     std::unique_ptr<KeyValueStore> aStore, int aTries);
 /// The list over HTTP.
 std::unique_ptr<VmList> MakeHttpVmList(PlatformSettings aSettings);
--- a/Zincstep/Pool/CallLimits.cpp
+++ b/Zincstep/Pool/CallLimits.cpp
@@ -27,7 +27,7 @@
                           const UpstreamNotice& aNotice, Instant aSentAt) {
   const Instant now = this->clock.Now();
   if (aNotice.rest) {
-    this->TakeRest(*aUpstream, *aNotice.rest, now);
+    this->ApplyBackoff(*aUpstream, *aNotice.rest, now);
   }
   if (aNotice.isLeaving && !aUpstream->IsDraining()) {
     aUpstream->SetLeaving(now);
@@ -53,14 +53,15 @@
                          (before && named && IsLargeChange(*before, *named));
   if (isChanged) {
     limit.renewedAt = now;
-    this->LogChange(limit, Evidence::Found);
+    this->LogChange(limit, Provenance::Observed);
     this->Apply(limit, now);
-    this->tellAll({this->NoticeOf(limit)});
+    this->broadcast({this->NoticeOf(limit)});
   }
 }
 
-void CallLimits::TakeRest(LiveUpstream& aUpstream, Micros aRest, Instant aNow) {
-  aUpstream.RestUntil(aNow + aRest);
+void CallLimits::ApplyBackoff(LiveUpstream& aUpstream, Micros aRest,
+                              Instant aNow) {
+  aUpstream.BackOffUntil(aNow + aRest);
   this->metrics.Count("zincstep_upstream_rests_total");
   LogInfo("upstream_rests",
           {{"upstream", aUpstream.Entry().id}, {"rest_ms", aRest / 1ms}});
@@ -68,7 +69,7 @@
 
 std::optional<LimitNotice> CallLimits::OnTold(const UpstreamPtr& aUpstream,
                                               const LimitNotice& aNotice,
-                                              const std::string& aTeller) {
+                                              const std::string& aReporter) {
   const Instant now = this->clock.Now();
   const Instant answeredAt = now - aNotice.age;
   const auto known = this->limits.find(aUpstream->Number());
@@ -83,7 +84,7 @@
     return this->NoticeOf(limit);
   }
   limit.upstream = aUpstream;
-  if (isNew || this->ComesBefore(limit, aTeller)) {
+  if (isNew || this->ComesBefore(limit, aReporter)) {
     limit.renewedAt = now;
   }
   if (!isNew && limit.answeredAt >= answeredAt) {
@@ -93,7 +94,7 @@
   limit.callsPerSecond = aNotice.callsPerSecond;
   limit.answeredAt = answeredAt;
   if (isChanged) {
-    this->LogChange(limit, Evidence::Told);
+    this->LogChange(limit, Provenance::Told);
     this->Apply(limit, now);
   }
   return std::nullopt;
@@ -135,8 +136,8 @@
 }
 
 bool CallLimits::ComesBefore(const Limit& aLimit,
-                             const std::string& aTeller) const {
-  const Place teller = this->PlaceOf(*aLimit.upstream, aTeller);
+                             const std::string& aReporter) const {
+  const Place teller = this->PlaceOf(*aLimit.upstream, aReporter);
   const Place own = this->PlaceOf(*aLimit.upstream, this->settings.ownName);
   const std::size_t sharers = this->Sharers(aLimit, own.daemons);
   return teller.isListed && teller.rank / sharers < own.rank / sharers;
@@ -157,7 +158,7 @@
     return {};
   }
   const double all =
-      std::max(*aLimit.callsPerSecond, this->settings.fewestPerSecond);
+      std::max(*aLimit.callsPerSecond, this->settings.minPerSecond);
   return {all / static_cast<double>(sharers),
           place.rank % sharers < this->settings.renewers};
 }
@@ -182,9 +183,10 @@
 }
 
 bool CallLimits::IsForgotten(const Limit& aLimit, Instant aNow) const {
-  const bool isOver = !aLimit.callsPerSecond || aLimit.upstream->IsGone();
-  const Instant heardAt = std::max(aLimit.renewedAt, aLimit.answeredAt);
-  if (!isOver || aNow - heardAt <= this->settings.endedLife) {
+  const bool isOver =
+      !aLimit.callsPerSecond || aLimit.upstream->IsDeregistered();
+  const Instant lastSeenAt = std::max(aLimit.renewedAt, aLimit.answeredAt);
+  if (!isOver || aNow - lastSeenAt <= this->settings.endedLife) {
     return false;
   }
   // It may come back, and nobody would set its part anew.
@@ -213,12 +215,12 @@
   }
   this->metrics.Set("zincstep_upstream_limits", static_cast<double>(inForce));
   if (!renewals.empty()) {
-    this->tellAll(renewals);
+    this->broadcast(renewals);
   }
 }
 
-void CallLimits::LogChange(const Limit& aLimit, Evidence aEvidence) const {
-  const bool isTold = aEvidence == Evidence::Told;
+void CallLimits::LogChange(const Limit& aLimit, Provenance aProvenance) const {
+  const bool isTold = aProvenance == Provenance::Told;
   if (!aLimit.callsPerSecond) {
     LogInfo("upstream_limit_lifted",
             {{"upstream", aLimit.upstream->Entry().id}, {"told", isTold}});
@@ -234,7 +236,7 @@
 
 void CallLimits::LogCalls(Limit& aLimit, Instant aNow) const {
   const int sum = std::accumulate(aLimit.calls.begin(), aLimit.calls.end(), 0);
-  if (aNow < aLimit.nextLine || sum == 0) {
+  if (aNow < aLimit.nextLogAt || sum == 0) {
     return;
   }
   const auto count = [&aLimit](UpstreamCall aCall) {
@@ -247,7 +249,7 @@
            {"reports", count(UpstreamCall::Report)},
            {"orders", count(UpstreamCall::Order)}});
   aLimit.calls.fill(0);
-  aLimit.nextLine = aNow + kLinePause;
+  aLimit.nextLogAt = aNow + kLinePause;
 }
 
 }  // namespace zincstep
--- a/Zincstep/Pool/CallLimits.h
+++ b/Zincstep/Pool/CallLimits.h
@@ -31,7 +31,7 @@
   std::string ownDomain;
   /// Calls a second to an upstream that takes fewer: they find out when its
   /// limit ends.
-  double fewestPerSecond = 0.05;
+  double minPerSecond = 0.05;
   /// Daemons that share a limit, for each call a second, beside the first one.
   /// Each of them may save one call up.
   double sharersPerCall = 2;
@@ -61,11 +61,11 @@
   using Tell = std::function<void(const std::vector<LimitNotice>&)>;
 
   CallLimits(CallLimitSettings aSettings, const Clock& aClock,
-             Metrics& aMetrics, Tell aTellAll)
+             Metrics& aMetrics, Tell aBroadcast)
       : settings(std::move(aSettings)),
         clock(aClock),
         metrics(aMetrics),
-        tellAll(std::move(aTellAll)) {}
+        broadcast(std::move(aBroadcast)) {}
 
   /// The other daemons: their names with their failure domains.
   void SetDaemons(std::map<std::string, std::string> aDomainByName) {
@@ -74,11 +74,11 @@
   /// The head of an answer has come, of a call that was sent at `aSentAt`.
   void OnNotice(const UpstreamPtr& aUpstream, const UpstreamNotice& aNotice,
                 Instant aSentAt);
-  /// The daemon `aTeller` tells of `aUpstream`; gives what it should hear back
-  /// where more recent word is known here.
+  /// The daemon `aReporter` tells of `aUpstream`; gives what it should hear
+  /// back where more recent word is known here.
   std::optional<LimitNotice> OnTold(const UpstreamPtr& aUpstream,
                                     const LimitNotice& aNotice,
-                                    const std::string& aTeller);
+                                    const std::string& aReporter);
   /// A call to an upstream begins.
   void OnCall(LiveUpstream& aUpstream, UpstreamCall aCall);
   /// Sets the parts anew, tells the others and logs the calls; to be called
@@ -96,7 +96,7 @@
     Instant renewedAt;
     Instant nextRenewal{};
     std::array<int, kUpstreamCallNames.size()> calls{};
-    Instant nextLine{};
+    Instant nextLogAt{};
   };
 
   /// This daemon's part of a limit.
@@ -117,25 +117,25 @@
 
   /// An upstream wants no calls from this daemon for a time. Others are not
   /// told: it says so to each of them.
-  void TakeRest(LiveUpstream& aUpstream, Micros aRest, Instant aNow);
+  void ApplyBackoff(LiveUpstream& aUpstream, Micros aRest, Instant aNow);
   LimitNotice NoticeOf(const Limit& aLimit) const;
   Place PlaceOf(const LiveUpstream& aUpstream,
                 const std::string& aDaemon) const;
   /// How many of them share it.
   std::size_t Sharers(const Limit& aLimit, std::size_t aDaemons) const;
-  bool ComesBefore(const Limit& aLimit, const std::string& aTeller) const;
+  bool ComesBefore(const Limit& aLimit, const std::string& aReporter) const;
   Part PartOf(const Limit& aLimit, Instant aNow) const;
   void Apply(Limit& aLimit, Instant aNow);
   /// Whether a limit is of no interest any more; then its upstream may be
   /// called freely.
   bool IsForgotten(const Limit& aLimit, Instant aNow) const;
-  void LogChange(const Limit& aLimit, Evidence aEvidence) const;
+  void LogChange(const Limit& aLimit, Provenance aProvenance) const;
   void LogCalls(Limit& aLimit, Instant aNow) const;
 
   CallLimitSettings settings;
   const Clock& clock;
   Metrics& metrics;
-  Tell tellAll;
+  Tell broadcast;
   std::map<std::string, std::string> daemons;
   /// By the numbers of the upstreams.
   std::unordered_map<std::uint64_t, Limit> limits;
--- a/Zincstep/Pool/ChainChooser.cpp
+++ b/Zincstep/Pool/ChainChooser.cpp
@@ -51,7 +51,7 @@
   for (const UpstreamPtr& upstream : aUpstreams) {
     const UpstreamEntry& entry = upstream->Entry();
     const PoolKind* kind = aModel.FindKind(entry.kind);
-    const double pace = std::max(1.0, upstream->Pace(aNow));
+    const double pace = std::max(1.0, upstream->Slowdown(aNow));
     const double capacity =
         Capacity(aModel, entry) * this->settings.memoryLimit;
     const double wanted = upstream->Work() + aTokens * entry.layers.Size();
--- a/Zincstep/Pool/CountedControl.cpp
+++ b/Zincstep/Pool/CountedControl.cpp
@@ -8,10 +8,11 @@
   }
 }
 
-void CountedControl::Reach(const UpstreamEntry& aUpstream, Micros aTimeout,
-                           std::function<void(Reachability)> aDone) {
+void CountedControl::ProbeConnection(const UpstreamEntry& aUpstream,
+                                     Micros aTimeout,
+                                     std::function<void(Reachability)> aDone) {
   // No request is sent.
-  this->control.Reach(aUpstream, aTimeout, std::move(aDone));
+  this->control.ProbeConnection(aUpstream, aTimeout, std::move(aDone));
 }
 
 void CountedControl::Report(const UpstreamEntry& aUpstream, Micros aTimeout,
@@ -41,10 +42,11 @@
                       std::move(aDone));
 }
 
-void CountedControl::Repath(const std::string& aRequestId,
-                            const PoolChain& aChain, Done<OrderOutcome> aDone) {
+void CountedControl::Reroute(const std::string& aRequestId,
+                             const PoolChain& aChain,
+                             Done<OrderOutcome> aDone) {
   this->limits.OnCall(*aChain.front().upstream, UpstreamCall::Order);
-  this->control.Repath(aRequestId, aChain, std::move(aDone));
+  this->control.Reroute(aRequestId, aChain, std::move(aDone));
 }
 
 }  // namespace zincstep
--- a/Zincstep/Pool/CountedControl.h
+++ b/Zincstep/Pool/CountedControl.h
@@ -17,15 +17,15 @@
         limits(aLimits),
         clock(aClock) {}
 
-  void Reach(const UpstreamEntry& aUpstream, Micros aTimeout,
-             std::function<void(Reachability)> aDone) override;
+  void ProbeConnection(const UpstreamEntry& aUpstream, Micros aTimeout,
+                       std::function<void(Reachability)> aDone) override;
   void Report(const UpstreamEntry& aUpstream, Micros aTimeout,
               Done<UpstreamReport> aDone) override;
   void Place(const UpstreamEntry& aUpstream, LayerRange aLayers,
              std::uint64_t aExpectedSequence, GiveUp aGiveUp,
              Done<OrderOutcome> aDone) override;
-  void Repath(const std::string& aRequestId, const PoolChain& aChain,
-              Done<OrderOutcome> aDone) override;
+  void Reroute(const std::string& aRequestId, const PoolChain& aChain,
+               Done<OrderOutcome> aDone) override;
 
  private:
   void Count(std::uint64_t aUpstream, UpstreamCall aCall);
--- a/Zincstep/Pool/DomainLayout.cpp
+++ b/Zincstep/Pool/DomainLayout.cpp
@@ -60,7 +60,7 @@
 }
 
 DomainLayout::DomainLayout(const ModelShape& aModel,
-                           const LayoutWorthSettings& aSettings, double aDemand,
+                           const LayoutScoreSettings& aSettings, double aDemand,
                            std::vector<PlacedUpstream> aUpstreams, int aTimes)
     : model(aModel),
       settings(aSettings),
@@ -223,10 +223,10 @@
   return kind == nullptr ? 0 : kind->memoryMb;
 }
 
-int DomainLayout::MostLayers(std::size_t aIndex) const {
+int DomainLayout::MaxLayers(std::size_t aIndex) const {
   const PoolKind* kind = this->kinds[aIndex];
   return kind == nullptr ? 0
-                         : LayersBeside(this->model, *kind, kFewestTokensKept);
+                         : LayersBeside(this->model, *kind, kMinReservedTokens);
 }
 
 }  // namespace zincstep
--- a/Zincstep/Pool/DomainLayout.h
+++ b/Zincstep/Pool/DomainLayout.h
@@ -11,10 +11,10 @@
 
 /// The least memory that an upstream keeps for requests, in tokens: some
 /// twenty of the usual ones, as a guard against starving a whole domain.
-inline constexpr double kFewestTokensKept = 20'000;
+inline constexpr double kMinReservedTokens = 20'000;
 
 /// Settings of what a layout is worth.
-struct LayoutWorthSettings {
+struct LayoutScoreSettings {
   /// Losses of an upstream a second. One in two minutes is far above what a
   /// real pool sees: it also stands for what the share of served requests
   /// leaves out, that a domain without a layer serves nobody at all (trials of
@@ -64,7 +64,7 @@
   /// `aDemand` is in tokens of requests in flight. Each upstream stands for
   /// `aTimes` equal ones, so that a large domain can be weighed by a part of
   /// it.
-  DomainLayout(const ModelShape& aModel, const LayoutWorthSettings& aSettings,
+  DomainLayout(const ModelShape& aModel, const LayoutScoreSettings& aSettings,
                double aDemand, std::vector<PlacedUpstream> aUpstreams,
                int aTimes = 1);
 
@@ -94,7 +94,7 @@
   void Set(std::size_t aIndex, LayerRange aLayers);
   /// It has been given an order and takes no other.
   void SetOrdered(std::size_t aIndex) {
-    this->upstreams[aIndex].takesOrders = false;
+    this->upstreams[aIndex].acceptsOrders = false;
   }
 
   LayoutScore Score() const { return this->ScoreBeside(nullptr); }
@@ -112,7 +112,7 @@
   /// First range without a holder from `aFrom` on, or an empty one.
   LayerRange FirstGap(int aFrom) const;
   /// Most layers that an upstream may hold: memory for few requests is left.
-  int MostLayers(std::size_t aIndex) const;
+  int MaxLayers(std::size_t aIndex) const;
 
  private:
   /// What tells classes apart.
@@ -152,7 +152,7 @@
                   double aServed) const;
 
   const ModelShape& model;
-  const LayoutWorthSettings& settings;
+  const LayoutScoreSettings& settings;
   double demand;
   int times;
   std::vector<PlacedUpstream> upstreams;
--- a/Zincstep/Pool/DomainPlan.cpp
+++ b/Zincstep/Pool/DomainPlan.cpp
@@ -33,19 +33,19 @@
 
 }  // namespace
 
-std::vector<PlacementOrder> DomainPlan::Make(bool aImproves, bool aIsSteady,
+std::vector<PlacementOrder> DomainPlan::Make(bool aImproves, bool aIsStable,
                                              std::uint64_t aTurn) {
   this->LayOut();
   this->PlaceEmpty();
   this->FillGaps();
   if (aImproves && this->orders.empty()) {
-    this->Improve(aIsSteady, aTurn);
+    this->Improve(aIsStable, aTurn);
   }
   return std::move(this->orders);
 }
 
-PartPlan DomainPlan::MakePart(std::uint64_t aMostSteps) {
-  this->mostSteps = aMostSteps;
+PartPlan DomainPlan::MakePart(std::uint64_t aMaxSteps) {
+  this->maxSteps = aMaxSteps;
   this->LayOutWhole();
   this->PlaceEmpty();
   this->FillGaps();
@@ -59,7 +59,7 @@
 
 bool DomainPlan::IsEmpty(std::size_t aIndex) const {
   const PlacedUpstream& upstream = this->layout.At(aIndex);
-  return upstream.layers.Size() == 0 && upstream.takesOrders;
+  return upstream.layers.Size() == 0 && upstream.acceptsOrders;
 }
 
 void DomainPlan::Order(std::size_t aIndex, LayerRange aRange, GiveUp aGiveUp) {
@@ -79,7 +79,7 @@
     const std::size_t size = this->BestPartSize(empty);
     this->OrderAll(empty, this->PlanParts(empty, size));
   } else if (empty.size() == this->layout.Count()) {
-    this->OrderAll(empty, LayOutEmptyDomain(this->model, this->layout));
+    this->OrderAll(empty, PlanEmptyDomain(this->model, this->layout));
   }
 }
 
@@ -99,14 +99,14 @@
 }
 
 void DomainPlan::LayOutWhole() {
-  SetAll(this->layout, LayOutEmptyDomain(this->model, this->layout));
+  SetAll(this->layout, PlanEmptyDomain(this->model, this->layout));
 }
 
 void DomainPlan::OrderAll(const std::vector<std::size_t>& aUpstreams,
                           const std::vector<LayerRange>& aRanges) {
   for (std::size_t i = 0; i < aUpstreams.size(); ++i) {
     if (aRanges[i].Size() > 0) {
-      this->Order(aUpstreams[i], aRanges[i], GiveUp::CutRequests);
+      this->Order(aUpstreams[i], aRanges[i], GiveUp::AbortRequests);
     }
   }
 }
@@ -206,7 +206,7 @@
     const Move best =
         this->BestOf(i, this->choices.At(i, this->choices.Edges()));
     if (best.layers.Size() > 0) {
-      this->Order(i, best.layers, GiveUp::CutRequests);
+      this->Order(i, best.layers, GiveUp::AbortRequests);
     }
   }
 }
@@ -237,7 +237,7 @@
       from = gap.last;
       continue;
     }
-    this->Order(best.index, best.layers, GiveUp::CutRequests);
+    this->Order(best.index, best.layers, GiveUp::AbortRequests);
   }
 }
 
@@ -258,14 +258,14 @@
 
 bool DomainPlan::MayChange(std::size_t aIndex) const {
   const PlacedUpstream& upstream = this->layout.At(aIndex);
-  return upstream.takesOrders && upstream.layers.Size() > 0;
+  return upstream.acceptsOrders && upstream.layers.Size() > 0;
 }
 
 bool DomainPlan::IsChanging() const {
   const auto& upstreams = this->layout.Upstreams();
   return std::any_of(
       upstreams.begin(), upstreams.end(),
-      [](const PlacedUpstream& aOne) { return !aOne.takesOrders; });
+      [](const PlacedUpstream& aOne) { return !aOne.acceptsOrders; });
 }
 
 void DomainPlan::Refine() {
@@ -274,7 +274,7 @@
   while (isBetter && this->HasTimeLeft()) {
     Move best;
     best.score = this->layout.Score();
-    best.score.worth += this->settings.leastGain;
+    best.score.worth += this->settings.minGain;
     for (const std::size_t i : this->Representatives()) {
       const Move move = this->BestOf(i, this->choices.At(i, edges));
       best = move.score.IsBetterThan(best.score) ? move : best;
@@ -286,17 +286,17 @@
   }
 }
 
-void DomainPlan::Improve(bool aIsSteady, std::uint64_t aTurn) {
+void DomainPlan::Improve(bool aIsStable, std::uint64_t aTurn) {
   const LayoutScore present = this->layout.Score();
   // Nothing is worth more than serving all without any loss.
   const double most = 1;
-  if (present.gaps > 0 || present.worth + this->settings.leastGain >= most) {
+  if (present.gaps > 0 || present.worth + this->settings.minGain >= most) {
     return;
   }
-  const bool onlyGrows = !aIsSteady || this->IsChanging();
+  const bool onlyGrows = !aIsStable || this->IsChanging();
   Move best;
   best.score = present;
-  best.score.worth += this->settings.leastGain;
+  best.score.worth += this->settings.minGain;
   const std::vector<int> edges = this->choices.Edges();
   std::vector<std::size_t> upstreams = this->Changeable();
   std::rotate(upstreams.begin(),
@@ -313,7 +313,7 @@
     }
   }
   if (best.layers.Size() > 0) {
-    this->Order(best.index, best.layers, GiveUp::WaitForRequests);
+    this->Order(best.index, best.layers, GiveUp::DrainRequests);
   }
 }
 
@@ -347,7 +347,7 @@
   for (const std::size_t next : aChangeable) {
     const LayerRange other = this->layout.At(next).layers;
     const bool isNext = next != aIndex && other.first == own.last;
-    for (int shift = 1; isNext && shift <= kMostShift; ++shift) {
+    for (int shift = 1; isNext && shift <= kMaxShift; ++shift) {
       this->ConsiderShift(aBest, aIndex, {own.first, own.last + shift}, next,
                           {other.first + shift, other.last});
       this->ConsiderShift(aBest, next, {other.first - shift, other.last},
@@ -359,8 +359,8 @@
 void DomainPlan::ConsiderShift(Move& aBest, std::size_t aGrowing,
                                LayerRange aGrown, std::size_t aShrinking,
                                LayerRange aShrunk) {
-  const int fewest = FewestLayers(this->model);
-  if (aGrown.Size() > this->layout.MostLayers(aGrowing) ||
+  const int fewest = MinLayers(this->model);
+  if (aGrown.Size() > this->layout.MaxLayers(aGrowing) ||
       aShrunk.Size() < fewest) {
     return;
   }
--- a/Zincstep/Pool/DomainPlan.h
+++ b/Zincstep/Pool/DomainPlan.h
@@ -29,7 +29,7 @@
              DomainLayout aLayout)
       : model(aModel),
         settings(aSettings),
-        mostSteps(aSettings.mostSteps),
+        maxSteps(aSettings.maxSteps),
         layout(std::move(aLayout)),
         choices(aModel, this->layout) {}
 
@@ -38,19 +38,19 @@
 
   /// Orders for the domain as it is: what is empty is placed and gaps are
   /// closed; where `aImproves`, one upstream is changed to serve better.
-  /// `aTurn` as in `PlacementSituation`.
-  std::vector<PlacementOrder> Make(bool aImproves, bool aIsSteady,
+  /// `aTurn` as in `PlacementInput`.
+  std::vector<PlacementOrder> Make(bool aImproves, bool aIsStable,
                                    std::uint64_t aTurn);
 
   /// Ranges for a part of a domain that holds nothing yet, one for each
   /// upstream; what is not loaded yet is changed at no cost.
-  PartPlan MakePart(std::uint64_t aMostSteps);
+  PartPlan MakePart(std::uint64_t aMaxSteps);
 
-  /// What the plan has cost so far, as `PlanEffort::steps`.
+  /// What the plan has cost so far, as `PlanCost::steps`.
   std::uint64_t Steps() const { return this->partSteps + this->layout.Steps(); }
 
  private:
-  bool HasTimeLeft() const { return this->layout.Steps() < this->mostSteps; }
+  bool HasTimeLeft() const { return this->layout.Steps() < this->maxSteps; }
 
   bool IsEmpty(std::size_t aIndex) const;
 
@@ -113,7 +113,7 @@
 
   /// Changes one upstream where that serves more than it costs. While anything
   /// else changes, upstreams only grow, which takes nothing away.
-  void Improve(bool aIsSteady, std::uint64_t aTurn);
+  void Improve(bool aIsStable, std::uint64_t aTurn);
 
   void ConsiderRanges(Move& aBest, std::size_t aIndex,
                       const std::vector<int>& aEdges, bool aOnlyGrows);
@@ -130,8 +130,8 @@
 
   const ModelShape& model;
   const PlacementSettings& settings;
-  /// See `PlacementSettings::mostSteps`.
-  std::uint64_t mostSteps;
+  /// See `PlacementSettings::maxSteps`.
+  std::uint64_t maxSteps;
   DomainLayout layout;
   RangeChoices choices;
   std::vector<PlacementOrder> orders;
--- a/Zincstep/Pool/EmptyDomain.cpp
+++ b/Zincstep/Pool/EmptyDomain.cpp
@@ -25,7 +25,7 @@
       : model(aModel),
         layout(aLayout),
         tokensKept(aTokensKept),
-        fewest(FewestLayers(aModel)) {
+        fewest(MinLayers(aModel)) {
     this->order.resize(aLayout.Count());
     std::iota(this->order.begin(), this->order.end(), std::size_t{0});
     std::stable_sort(this->order.begin(), this->order.end(),
@@ -73,7 +73,7 @@
   int Shared(std::size_t aIndex, int aHolders) const {
     const double share = this->tokensKept / aHolders;
     return this->SizeBeside(
-        aIndex, aHolders > 1 ? std::max(share, kFewestTokensKept) : share);
+        aIndex, aHolders > 1 ? std::max(share, kMinReservedTokens) : share);
   }
 
   bool IsBefore(std::size_t aLeft, std::size_t aRight) const {
@@ -137,16 +137,16 @@
   }
 }
 
-int FewestLayers(const ModelShape& aModel) {
+int MinLayers(const ModelShape& aModel) {
   return (aModel.layers + kMostHops - 1) / kMostHops;
 }
 
-std::vector<LayerRange> LayOutEmptyDomain(const ModelShape& aModel,
-                                          DomainLayout& aLayout) {
+std::vector<LayerRange> PlanEmptyDomain(const ModelShape& aModel,
+                                        DomainLayout& aLayout) {
   const std::vector<LayerRange> none(aLayout.Count());
   std::vector<LayerRange> best = none;
   LayoutScore bestScore{aModel.layers, 0};
-  double tokens = kFewestTokensKept;
+  double tokens = kMinReservedTokens;
   while (true) {
     const Filling filling(aModel, aLayout, tokens);
     const auto ranges = filling.Make();
--- a/Zincstep/Pool/EmptyDomain.h
+++ b/Zincstep/Pool/EmptyDomain.h
@@ -15,14 +15,14 @@
 /// for requests is tried from little to much, and the layout with the best
 /// score is taken. Gives a range for each upstream of `aLayout`, empty where it
 /// gets none; all are empty where no copy fits. `aLayout` is as before then.
-std::vector<LayerRange> LayOutEmptyDomain(const ModelShape& aModel,
-                                          DomainLayout& aLayout);
+std::vector<LayerRange> PlanEmptyDomain(const ModelShape& aModel,
+                                        DomainLayout& aLayout);
 
 /// Gives each upstream of a layout its range.
 void SetAll(DomainLayout& aLayout, const std::vector<LayerRange>& aRanges);
 
 /// The fewest layers that an upstream should hold, however many there are: a
 /// chain of such members is as long as chains may be.
-int FewestLayers(const ModelShape& aModel);
+int MinLayers(const ModelShape& aModel);
 
 }  // namespace zincstep
--- a/Zincstep/Pool/LiveUpstream.cpp
+++ b/Zincstep/Pool/LiveUpstream.cpp
@@ -46,8 +46,8 @@
   this->leavingSince = this->leavingSince.value_or(aNow);
 }
 
-void LiveUpstream::SetGone(Instant aNow) {
-  this->isGone = true;
+void LiveUpstream::SetDeregistered(Instant aNow) {
+  this->isDeregistered = true;
   this->leavingSince = this->leavingSince.value_or(aNow);
 }
 
@@ -65,7 +65,7 @@
 }
 
 Micros LiveUpstream::CallWait(Instant aNow) const {
-  const Micros rest = std::max(Micros{0}, this->restsUntil - aNow);
+  const Micros rest = std::max(Micros{0}, this->backoffUntil - aNow);
   const Micros share = this->callShare
                            ? this->callShare->Wait(aNow, kLongestCallWait)
                            : Micros{0};
@@ -86,7 +86,7 @@
 void LiveUpstream::OnAnswer(Instant aNow) {
   this->answeredAt = std::max(this->answeredAt, aNow);
   if (aNow > this->suspectedAt) {
-    this->TakeSuspicionBack();
+    this->ClearSuspicion();
   }
 }
 
@@ -95,12 +95,12 @@
          aNow - this->suspectedAt < kSuspicionConfirmed;
 }
 
-double LiveUpstream::Pace(Instant aNow) const {
-  return aNow - this->paceAt < kPaceLife ? this->pace : 1;
+double LiveUpstream::Slowdown(Instant aNow) const {
+  return aNow - this->slowdownAt < kPaceLife ? this->pace : 1;
 }
 
 bool LiveUpstream::IsSlow(Instant aNow) const {
-  return this->Pace(aNow) >= kSlowPace;
+  return this->Slowdown(aNow) >= kSlowPace;
 }
 
 void LiveUpstream::OnRefusal(Instant aNow) {
@@ -112,12 +112,12 @@
   }
 }
 
-void LiveUpstream::AddOthers(double aWork) {
+void LiveUpstream::AddRemoteWork(double aWork) {
   this->others += aWork;
   this->othersCount += 1;
 }
 
-void LiveUpstream::RemoveOthers(double aWork) {
+void LiveUpstream::RemoveRemoteWork(double aWork) {
   ZINCSTEP_ASSERT(this->othersCount > 0);
   this->othersCount -= 1;
   // Sums of fractions leave a rest: where nobody has work there is none.
--- a/Zincstep/Pool/LiveUpstream.h
+++ b/Zincstep/Pool/LiveUpstream.h
@@ -23,7 +23,7 @@
 ///
 /// What was told is not told on: two daemons would keep it alive between
 /// them after whoever found it has seen that it is over.
-enum class Evidence { Found, Told };
+enum class Provenance { Observed, Told };
 
 /// One start of an upstream. It may start again under the id that it had, and
 /// then holds and knows nothing of before.
@@ -31,12 +31,12 @@
   std::string id;
   /// When it started, in milliseconds since 1970 by its own clock; only told
   /// apart, never compared with another clock. 0: it does not tell.
-  std::int64_t born = 0;
+  std::int64_t startTimeMs = 0;
 
   bool operator==(const Incarnation&) const = default;
   /// Names it where a text is needed.
   std::string Text() const {
-    return this->id + "@" + std::to_string(this->born);
+    return this->id + "@" + std::to_string(this->startTimeMs);
   }
   /// Stands for it where daemons tell each other of upstreams.
   std::uint64_t Number() const { return Hash64(this->Text()); }
@@ -57,11 +57,13 @@
   LayerRange layers;
   /// Kind of its accelerator; empty for plain services.
   std::string kind;
-  /// When it started, as `Incarnation::born`.
-  std::int64_t born = 0;
+  /// When it started, as `Incarnation::startTimeMs`.
+  std::int64_t startTimeMs = 0;
 
   /// What every belief about the upstream belongs to.
-  zincstep::Incarnation Incarnation() const { return {this->id, this->born}; }
+  zincstep::Incarnation Incarnation() const {
+    return {this->id, this->startTimeMs};
+  }
 
   /// Whether it holds layers of a model and answers probes; else it is of a
   /// plain service.
@@ -90,30 +92,30 @@
   void Suspect(Instant aNow);
   /// The evidence is out of date: it may be given work again, and the next
   /// suspicion is as short as the first.
-  void TakeSuspicionBack() {
+  void ClearSuspicion() {
     this->suspectUntil = Instant{};
     this->suspicions = 0;
   }
   /// It has refused work; no more is given to it until then.
-  void PassOver(Instant aUntil) {
-    this->passedOverUntil = std::max(this->passedOverUntil, aUntil);
+  void EjectUntil(Instant aUntil) {
+    this->ejectionEnd = std::max(this->ejectionEnd, aUntil);
   }
   bool IsSuspect(Instant aNow) const { return aNow < this->suspectUntil; }
   /// Whether the suspicion has just come up and may yet prove to be wrong.
   bool IsNewlySuspect(Instant aNow) const;
 
   /// It has left the list; what runs there may still end.
-  void SetGone(Instant aNow);
+  void SetDeregistered(Instant aNow);
   /// It is on the list again: it was cut off, not ended.
-  void SetBack() {
-    this->isGone = this->hasEnded;
+  void SetReregistered() {
+    this->isDeregistered = this->hasEnded;
     this->leavingSince.reset();
   }
-  bool IsGone() const { return this->isGone; }
+  bool IsDeregistered() const { return this->isDeregistered; }
   /// It has started again: nothing that was sent to this start runs any more.
   void SetEnded(Instant aNow) {
     this->hasEnded = true;
-    this->SetGone(aNow);
+    this->SetDeregistered(aNow);
   }
   bool HasEnded() const { return this->hasEnded; }
   /// Whether it has been leaving for so long.
@@ -122,18 +124,18 @@
   }
   /// Whether new work may be given to it.
   bool IsUsable(Instant aNow) const {
-    return !this->isGone && this->entry.state == Availability::Ready &&
+    return !this->isDeregistered && this->entry.state == Availability::Ready &&
            !this->IsSuspect(aNow) && !this->IsRefusing(aNow) &&
-           aNow >= this->passedOverUntil;
+           aNow >= this->ejectionEnd;
   }
   /// Whether it lives and stays, as far as is known.
-  bool IsPresent(Instant aNow) const {
-    return !this->isGone && this->entry.state == Availability::Ready &&
+  bool IsHealthy(Instant aNow) const {
+    return !this->isDeregistered && this->entry.state == Availability::Ready &&
            !this->IsSuspect(aNow);
   }
   /// Whether it does, and takes new work.
-  bool IsSound(Instant aNow) const {
-    return this->IsPresent(aNow) && !this->IsRefusing(aNow);
+  bool IsAcceptingWork(Instant aNow) const {
+    return this->IsHealthy(aNow) && !this->IsRefusing(aNow);
   }
 
   /// It names a limit, of which this daemon may use so many calls a second.
@@ -141,16 +143,16 @@
   /// It names no limit any more.
   void LiftCallRate() { this->callShare.reset(); }
   /// It wants no call from this daemon until then.
-  void RestUntil(Instant aUntil) {
-    this->restsUntil = std::max(this->restsUntil, aUntil);
+  void BackOffUntil(Instant aUntil) {
+    this->backoffUntil = std::max(this->backoffUntil, aUntil);
   }
-  bool IsResting(Instant aNow) const { return aNow < this->restsUntil; }
+  bool IsBackingOff(Instant aNow) const { return aNow < this->backoffUntil; }
   /// A call to it begins, whatever for.
   void OnCall(Instant aNow);
   /// Whether this daemon may call it now: send a request, an order or a
   /// question. As a later member of a chain it gets no calls.
   bool MayCall(Instant aNow) const {
-    return !this->IsResting(aNow) &&
+    return !this->IsBackingOff(aNow) &&
            (!this->callShare || this->callShare->HasCall(aNow));
   }
   /// Whether it has had no call for so long that its limit may have ended.
@@ -166,17 +168,19 @@
   Instant AnsweredAt() const { return this->answeredAt; }
 
   /// It has told how quick it is; above 1 it is slower than its kind.
-  void SetPace(double aPace, Instant aNow,
-               Evidence aEvidence = Evidence::Found) {
+  void SetSlowdown(double aPace, Instant aNow,
+                   Provenance aProvenance = Provenance::Observed) {
     this->pace = aPace;
-    this->paceAt = aNow;
-    this->paceEvidence = aEvidence;
+    this->slowdownAt = aNow;
+    this->slowdownProvenance = aProvenance;
   }
   /// What it last told of that, unless it is out of date: then 1.
-  double Pace(Instant aNow) const;
+  double Slowdown(Instant aNow) const;
   /// The same if it told this daemon, else 1.
-  double FoundPace(Instant aNow) const {
-    return this->paceEvidence == Evidence::Found ? this->Pace(aNow) : 1;
+  double ObservedSlowdown(Instant aNow) const {
+    return this->slowdownProvenance == Provenance::Observed
+               ? this->Slowdown(aNow)
+               : 1;
   }
   /// Whether it takes so much longer that requests should go elsewhere.
   bool IsSlow(Instant aNow) const;
@@ -191,9 +195,9 @@
   /// Work of this daemon in flight, in tokens x layers or in requests.
   double own = 0;
   /// Another daemon has that much work in flight; see `PeerWork`.
-  void AddOthers(double aWork);
+  void AddRemoteWork(double aWork);
   /// Takes back what was added before.
-  void RemoveOthers(double aWork);
+  void RemoveRemoteWork(double aWork);
   /// All work in flight that is known of.
   double Work() const { return this->own + this->others; }
   /// Time of an answer of a plain service, averaged, in seconds.
@@ -210,21 +214,21 @@
   int othersCount = 0;
   /// None: it names no limit.
   std::optional<CallShare> callShare;
-  Instant restsUntil{};
+  Instant backoffUntil{};
   Instant refusingUntil{};
   std::optional<Instant> leavingSince;
   int refusals = 0;
   Instant suspectUntil{};
   Instant answeredAt{};
-  Instant passedOverUntil{};
+  Instant ejectionEnd{};
   Instant suspectedAt{};
   int suspicions = 0;
   double pace = 1;
-  Instant paceAt{};
-  Evidence paceEvidence = Evidence::Told;
+  Instant slowdownAt{};
+  Provenance slowdownProvenance = Provenance::Told;
   /// It has said so itself; its entry may be written before it says so too.
   bool isLeaving = false;
-  bool isGone = false;
+  bool isDeregistered = false;
   bool hasEnded = false;
 };
 
--- a/Zincstep/Pool/PeerWork.cpp
+++ b/Zincstep/Pool/PeerWork.cpp
@@ -4,7 +4,7 @@
 
 void PeerWork::TakeBack(Told& aTold) {
   for (const PeerShare& share : aTold.shares) {
-    share.upstream->RemoveOthers(share.work);
+    share.upstream->RemoveRemoteWork(share.work);
   }
   aTold.shares.clear();
 }
@@ -16,7 +16,7 @@
   told.shares = std::move(aShares);
   told.at = aNow;
   for (const PeerShare& share : told.shares) {
-    share.upstream->AddOthers(share.work);
+    share.upstream->AddRemoteWork(share.work);
   }
 }
 
--- a/Zincstep/Pool/Placement.h
+++ b/Zincstep/Pool/Placement.h
@@ -14,9 +14,9 @@
 /// What becomes of requests at an upstream that gives layers up.
 enum class GiveUp {
   /// They end first; the new layers are loaded after that.
-  WaitForRequests,
+  DrainRequests,
   /// They are cut off, and go on elsewhere.
-  CutRequests,
+  AbortRequests,
 };
 
 /// An upstream as placement sees it.
@@ -27,7 +27,7 @@
   /// What it holds, or will hold once a running order is done.
   LayerRange layers;
   /// Whether it gets orders: ready, answering, no order under way.
-  bool takesOrders = true;
+  bool acceptsOrders = true;
   /// Requests that it works on at once.
   int slots = 192;
   /// Its incarnation, as `LiveUpstream::Number`.
@@ -38,7 +38,7 @@
 struct PlacementOrder {
   std::string id;
   LayerRange layers;
-  GiveUp giveUp = GiveUp::CutRequests;
+  GiveUp giveUp = GiveUp::AbortRequests;
 };
 
 /// What callers need, as it was observed.
@@ -51,13 +51,13 @@
 };
 
 /// What a plan is made from.
-struct PlacementSituation {
+struct PlacementInput {
   std::vector<PlacedUpstream> upstreams;
   /// What callers need; none where that is not known yet.
   std::optional<ObservedDemand> demand;
   /// Failure domains that have been as they are for a while: only these are
   /// changed to serve better, and not just to cover all layers.
-  std::set<std::string> steadyDomains;
+  std::set<std::string> stableDomains;
   /// The only failure domain that is looked at for that now, as it takes some
   /// milliseconds; none: all of them.
   std::optional<std::string> onlyImproved = std::nullopt;
@@ -68,7 +68,7 @@
 
 /// What a plan has cost: the layers and classes of upstreams that scores of
 /// layouts have looked at, whatever the machine.
-struct PlanEffort {
+struct PlanCost {
   std::uint64_t steps = 0;
 };
 
--- a/Zincstep/Pool/PlacementPlanner.cpp
+++ b/Zincstep/Pool/PlacementPlanner.cpp
@@ -24,8 +24,8 @@
 }  // namespace
 
 std::vector<PlacementOrder> PlacementPlanner::Plan(
-    const ModelShape& aModel, const PlacementSituation& aSituation,
-    PlanEffort* aEffort) const {
+    const ModelShape& aModel, const PlacementInput& aSituation,
+    PlanCost* aEffort) const {
   std::map<std::string, std::vector<PlacedUpstream>> byDomain;
   for (const PlacedUpstream& upstream : aSituation.upstreams) {
     byDomain[upstream.failureDomain].push_back(upstream);
@@ -50,7 +50,7 @@
     const bool improves =
         !aSituation.onlyImproved || *aSituation.onlyImproved == domain;
     const auto made = plan.Make(
-        improves, aSituation.steadyDomains.contains(domain), aSituation.turn);
+        improves, aSituation.stableDomains.contains(domain), aSituation.turn);
     orders.insert(orders.end(), made.begin(), made.end());
     if (aEffort != nullptr) {
       aEffort->steps += plan.Steps();
--- a/Zincstep/Pool/PlacementPlanner.h
+++ b/Zincstep/Pool/PlacementPlanner.h
@@ -9,7 +9,7 @@
 
 /// Settings of placement.
 struct PlacementSettings {
-  LayoutWorthSettings worth;
+  LayoutScoreSettings worth;
   /// Demand of a failure domain before any traffic was seen, as a share of the
   /// requests that one copy of the model leaves memory for. Both first users'
   /// pools and the third one's have 0.28 to 0.38 at their usual peak (tokens in
@@ -20,10 +20,10 @@
   double horizonSeconds = 30;
   /// Least gain of a change in share of the demand that is served; less is
   /// within what the estimate of the demand varies by.
-  double leastGain = 0.01;
+  double minGain = 0.01;
   /// Layers and classes that one domain's plan may look at before what is left
   /// waits for the next look: some 20 ms of a whole core.
-  std::uint64_t mostSteps = 4'000'000;
+  std::uint64_t maxSteps = 4'000'000;
 };
 
 /// Decides which upstream of a pool holds which layers.
@@ -44,8 +44,8 @@
   /// Orders that bring the pool nearer to what serves best; what they cost is
   /// added to `aEffort`.
   std::vector<PlacementOrder> Plan(const ModelShape& aModel,
-                                   const PlacementSituation& aSituation,
-                                   PlanEffort* aEffort = nullptr) const;
+                                   const PlacementInput& aSituation,
+                                   PlanCost* aEffort = nullptr) const;
 
  private:
   PlacementSettings settings;
--- a/Zincstep/Pool/RangeChoices.cpp
+++ b/Zincstep/Pool/RangeChoices.cpp
@@ -18,7 +18,7 @@
                        LayerRange aRange) const {
   const bool isInside = aRange.first >= 0 &&
                         aRange.last <= this->model.layers && aRange.Size() > 0;
-  if (isInside && aRange.Size() <= this->layout.MostLayers(aIndex)) {
+  if (isInside && aRange.Size() <= this->layout.MaxLayers(aIndex)) {
     aRanges.push_back(aRange);
   }
 }
@@ -39,8 +39,8 @@
 std::vector<LayerRange> RangeChoices::At(std::size_t aIndex,
                                          const std::vector<int>& aEdges) const {
   std::vector<LayerRange> ranges;
-  const int most = this->layout.MostLayers(aIndex);
-  const int fewest = std::min(most, FewestLayers(this->model));
+  const int most = this->layout.MaxLayers(aIndex);
+  const int fewest = std::min(most, MinLayers(this->model));
   const int step = std::max(1, (most - fewest) / kMostSizes);
   for (int size = most; size >= fewest && size > 0; size -= step) {
     for (const int edge : aEdges) {
@@ -54,10 +54,10 @@
 std::vector<LayerRange> RangeChoices::Near(std::size_t aIndex) const {
   std::vector<LayerRange> ranges;
   const LayerRange own = this->layout.At(aIndex).layers;
-  for (int first = -kMostShift; first <= kMostShift; ++first) {
-    for (int last = -kMostShift; last <= kMostShift; ++last) {
+  for (int first = -kMaxShift; first <= kMaxShift; ++first) {
+    for (int last = -kMaxShift; last <= kMaxShift; ++last) {
       const LayerRange range{own.first + first, own.last + last};
-      if (range != own && range.Size() >= FewestLayers(this->model)) {
+      if (range != own && range.Size() >= MinLayers(this->model)) {
         this->Add(ranges, aIndex, range);
       }
     }
@@ -69,7 +69,7 @@
                                           LayerRange aGap) const {
   auto ranges = this->At(aIndex, {aGap.first, aGap.last});
   const LayerRange own = this->layout.At(aIndex).layers;
-  const int most = this->layout.MostLayers(aIndex);
+  const int most = this->layout.MaxLayers(aIndex);
   if (this->layout.Times() == 1) {
     // The last of a gap may be smaller than upstreams usually are; repeated
     // in each part that would make many chains longer.
--- a/Zincstep/Pool/RangeChoices.h
+++ b/Zincstep/Pool/RangeChoices.h
@@ -7,7 +7,7 @@
 namespace zincstep {
 
 /// Layers by which a range is grown or shrunk at its ends.
-inline constexpr int kMostShift = 3;
+inline constexpr int kMaxShift = 3;
 
 /// Which ranges are tried for an upstream of a layout.
 class RangeChoices {
--- a/Zincstep/Pool/UpstreamControl.h
+++ b/Zincstep/Pool/UpstreamControl.h
@@ -39,7 +39,7 @@
 };
 
 /// What an upstream says to an order.
-enum class OrderAnswer {
+enum class OrderStatus {
   /// Begun, or holds already.
   Taken,
   /// Does not fit what it holds or has done.
@@ -50,14 +50,14 @@
 
 /// An answer with the address that an upstream blames, if any.
 struct OrderOutcome {
-  OrderAnswer answer = OrderAnswer::Refused;
+  OrderStatus answer = OrderStatus::Refused;
   std::string atFault;
 };
 
 /// Calls to upstreams beside requests, on the loop's thread.
 ///
 /// Failures: `UpstreamUnreachable` where nothing was sent, else
-/// `DeadlineDuringRun` (no answer in time) or `AnswerIncomplete` (the
+/// `DeadlineDuringRun` (no answer in time) or `ResponseIncomplete` (the
 /// connection broke): an order may have been taken, or may still be.
 class UpstreamControl {
  public:
@@ -68,8 +68,8 @@
 
   /// Finds out what becomes of a connection to its address, without a request:
   /// plain services answer no reports.
-  virtual void Reach(const UpstreamEntry& aUpstream, Micros aTimeout,
-                     std::function<void(Reachability)> aDone) = 0;
+  virtual void ProbeConnection(const UpstreamEntry& aUpstream, Micros aTimeout,
+                               std::function<void(Reachability)> aDone) = 0;
   /// Asks how an upstream is. Fails with `UpstreamEnded` where another
   /// incarnation answers at its address.
   virtual void Report(const UpstreamEntry& aUpstream, Micros aTimeout,
@@ -80,8 +80,8 @@
                      std::uint64_t aExpectedSequence, GiveUp aGiveUp,
                      Done<OrderOutcome> aDone) = 0;
   /// Orders a running request on to another chain with the same first hop.
-  virtual void Repath(const std::string& aRequestId, const PoolChain& aChain,
-                      Done<OrderOutcome> aDone) = 0;
+  virtual void Reroute(const std::string& aRequestId, const PoolChain& aChain,
+                       Done<OrderOutcome> aDone) = 0;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Pool/UpstreamDirectory.cpp
+++ b/Zincstep/Pool/UpstreamDirectory.cpp
@@ -90,7 +90,7 @@
   const bool isSameStart =
       former && former->Entry().Incarnation() == aEntry.Incarnation();
   if (isSameStart && former->Entry().service == aEntry.service) {
-    former->SetBack();
+    former->SetReregistered();
     former->SetEntry(std::move(aEntry), aNow);
     return former;
   }
@@ -110,7 +110,7 @@
   this->all.erase(found);
   this->byNumber.erase(upstream->Number());
   this->Unlist(upstream);
-  upstream->SetGone(aNow);
+  upstream->SetDeregistered(aNow);
   if (const UpstreamPtr next = this->SuccessorOf(*upstream)) {
     AddressUse& use = this->uses[upstream->Entry().address];
     use.Retire(upstream->Number());
--- a/Zincstep/Relay/CrashWatch.cpp
+++ b/Zincstep/Relay/CrashDetector.cpp
@@ -1,4 +1,4 @@
-#include "Zincstep/Relay/CrashWatch.h"
+#include "Zincstep/Relay/CrashDetector.h"
 
 #include <algorithm>
 
@@ -26,15 +26,15 @@
 
 }  // namespace
 
-CrashWatch::CrashWatch(CrashLedger& aLedger, UpstreamControl& aControl,
-                       const Clock& aClock, CrashListener& aListener)
+CrashDetector::CrashDetector(CrashTracker& aLedger, UpstreamControl& aControl,
+                             const Clock& aClock, CrashListener& aListener)
     : ledger(aLedger),
       clock(aClock),
       listener(aListener),
       check(aControl, aClock, kLateness) {}
 
-void CrashWatch::OnRunLost(RequestFingerprint aRequest,
-                           const UpstreamPtr& aUpstream) {
+void CrashDetector::OnRunLost(RequestFingerprint aRequest,
+                              const UpstreamPtr& aUpstream) {
   const std::uint64_t number = aUpstream->Number();
   const LostRun run{aRequest, this->clock.Now()};
   this->ledger.OnSuspected({aRequest, number});
@@ -51,19 +51,19 @@
   this->Try(number);
 }
 
-void CrashWatch::OnUpstreamAnswered(const LiveUpstream& aUpstream,
-                                    Instant aSentAt) {
+void CrashDetector::OnUpstreamAnswered(const LiveUpstream& aUpstream,
+                                       Instant aSentAt) {
   const auto open = this->questions.find(aUpstream.Number());
   // Where incarnations are told apart, an answer does not say whose it is.
   const bool isProof = open != this->questions.end() && open->second.nextAt &&
-                       aUpstream.Entry().born == 0 &&
+                       aUpstream.Entry().startTimeMs == 0 &&
                        aSentAt > open->second.runs.back().at;
   if (isProof) {
-    this->OnLives(open->first, "an answer");
+    this->OnAlive(open->first, "an answer");
   }
 }
 
-void CrashWatch::Try(std::uint64_t aUpstream) {
+void CrashDetector::Try(std::uint64_t aUpstream) {
   Question& question = this->questions.at(aUpstream);
   question.nextAt.reset();
   if (question.upstream->HasEnded()) {
@@ -75,51 +75,51 @@
     return;
   }
   this->check.Ask(question.upstream, question.timeout,
-                  [this, aUpstream](LifeSign aSign, const UpstreamReport*) {
+                  [this, aUpstream](Liveness aSign, const UpstreamReport*) {
                     this->OnAsked(aUpstream, aSign);
                   });
 }
 
-void CrashWatch::OnAsked(std::uint64_t aUpstream, LifeSign aSign) {
+void CrashDetector::OnAsked(std::uint64_t aUpstream, Liveness aSign) {
   switch (aSign) {
-    case LifeSign::Lives:
-      this->OnLives(aUpstream, "a report");
+    case Liveness::Alive:
+      this->OnAlive(aUpstream, "a report");
       break;
-    case LifeSign::Ended:
+    case Liveness::Ended:
       this->OnEnded(aUpstream, "another one answers");
       break;
-    case LifeSign::Dropped:
+    case Liveness::Dropped:
       if (this->CountUnanswered(aUpstream)) {
         this->OnEnded(aUpstream, "drops its connections");
       } else {
         this->Try(aUpstream);
       }
       break;
-    case LifeSign::Silent:
+    case Liveness::Silent:
       this->questions.at(aUpstream).unanswered += 1;
       this->Connect(aUpstream);
       break;
-    case LifeSign::Unknown:
+    case Liveness::Unknown:
       this->Connect(aUpstream);
       break;
   }
 }
 
-void CrashWatch::Connect(std::uint64_t aUpstream) {
+void CrashDetector::Connect(std::uint64_t aUpstream) {
   Question& question = this->questions.at(aUpstream);
   this->check.Connect(question.upstream, question.timeout,
-                      [this, aUpstream](LifeSign aSign, const UpstreamReport*) {
+                      [this, aUpstream](Liveness aSign, const UpstreamReport*) {
                         this->OnConnected(aUpstream, aSign);
                       });
 }
 
-void CrashWatch::OnConnected(std::uint64_t aUpstream, LifeSign aSign) {
-  if (aSign == LifeSign::Ended) {
+void CrashDetector::OnConnected(std::uint64_t aUpstream, Liveness aSign) {
+  if (aSign == Liveness::Ended) {
     this->OnEnded(aUpstream, "accepts no connection");
-  } else if (aSign == LifeSign::Unknown) {
+  } else if (aSign == Liveness::Unknown) {
     this->Wait(this->questions.at(aUpstream));
   } else if (this->CountUnanswered(aUpstream)) {
-    this->OnEnded(aUpstream, aSign == LifeSign::Dropped
+    this->OnEnded(aUpstream, aSign == Liveness::Dropped
                                  ? "drops its connections"
                                  : "answers no connection");
   } else {
@@ -127,13 +127,13 @@
   }
 }
 
-bool CrashWatch::CountUnanswered(std::uint64_t aUpstream) {
+bool CrashDetector::CountUnanswered(std::uint64_t aUpstream) {
   Question& question = this->questions.at(aUpstream);
   question.unanswered += 1;
   return question.unanswered >= kProvenTries;
 }
 
-void CrashWatch::Wait(Question& aQuestion) {
+void CrashDetector::Wait(Question& aQuestion) {
   aQuestion.unanswered = 0;
   // Whatever broke off during this try is asked about by the next one.
   aQuestion.runs.insert(aQuestion.runs.end(), aQuestion.later.begin(),
@@ -143,7 +143,7 @@
   aQuestion.timeout = std::min(2 * aQuestion.timeout, kLongestTimeout);
 }
 
-void CrashWatch::Tick() {
+void CrashDetector::Tick() {
   const Instant now = this->clock.Now();
   std::vector<std::uint64_t> waiting;
   for (const auto& [number, question] : this->questions) {
@@ -162,9 +162,9 @@
   }
 }
 
-void CrashWatch::GiveUp(std::uint64_t aUpstream) {
+void CrashDetector::GiveUp(std::uint64_t aUpstream) {
   Question& question = this->questions.at(aUpstream);
-  if (question.upstream->IsGone()) {
+  if (question.upstream->IsDeregistered()) {
     this->OnEnded(aUpstream, "it has left the list");
     return;
   }
@@ -187,7 +187,7 @@
   }
 }
 
-void CrashWatch::OnLives(std::uint64_t aUpstream, const char* aReason) {
+void CrashDetector::OnAlive(std::uint64_t aUpstream, const char* aReason) {
   const Question settled = std::move(this->questions.at(aUpstream));
   this->questions.erase(aUpstream);
   this->Settle(settled, settled.runs, "upstream_lives_after_loss", aReason);
@@ -196,7 +196,7 @@
   }
 }
 
-void CrashWatch::OnEnded(std::uint64_t aUpstream, const char* aReason) {
+void CrashDetector::OnEnded(std::uint64_t aUpstream, const char* aReason) {
   Question ended = std::move(this->questions.at(aUpstream));
   this->questions.erase(aUpstream);
   ended.runs.insert(ended.runs.end(), ended.later.begin(), ended.later.end());
@@ -204,9 +204,9 @@
   this->Suspect(ended);
 }
 
-void CrashWatch::Settle(const Question& aQuestion,
-                        const std::vector<LostRun>& aRuns, const char* aEvent,
-                        const char* aReason) {
+void CrashDetector::Settle(const Question& aQuestion,
+                           const std::vector<LostRun>& aRuns,
+                           const char* aEvent, const char* aReason) {
   LogInfo(aEvent, {{"upstream", aQuestion.upstream->Entry().id},
                    {"reason", aReason},
                    {"asked_ms", (this->clock.Now() - aRuns.front().at) / 1ms},
@@ -216,14 +216,14 @@
   }
 }
 
-void CrashWatch::Blame(const Question& aQuestion, const char* aReason) {
+void CrashDetector::Blame(const Question& aQuestion, const char* aReason) {
   const UpstreamPtr& upstream = aQuestion.upstream;
   std::vector<UpstreamCrash> crashes;
   for (const LostRun& run : aQuestion.runs) {
     const UpstreamCrash crash{run.request, upstream->Number()};
     this->ledger.OnSettled(crash);
     const bool isInnocent =
-        this->Take(crash, Evidence::Found) == CrashVerdict::Innocent;
+        this->Take(crash, Provenance::Observed) == CrashVerdict::Ignored;
     LogInfo("upstream_ended_under",
             {{"fingerprint", TextOf(run.request)},
              {"upstream", upstream->Entry().id},
@@ -240,36 +240,37 @@
   }
 }
 
-void CrashWatch::Suspect(const Question& aQuestion) {
+void CrashDetector::Suspect(const Question& aQuestion) {
   const UpstreamPtr& upstream = aQuestion.upstream;
   const Instant now = this->clock.Now();
   if (!upstream->IsSuspect(now)) {
     upstream->Suspect(now);
     LogInfo("upstream_suspected", {{"upstream", upstream->Entry().id},
                                    {"reason", "it ended under a request"}});
-    this->listener.OnCrashSuspicion();
+    this->listener.OnUpstreamSuspected();
   }
 }
 
-CrashVerdict CrashWatch::Take(const UpstreamCrash& aCrash, Evidence aEvidence) {
+CrashVerdict CrashDetector::Take(const UpstreamCrash& aCrash,
+                                 Provenance aProvenance) {
   const CrashVerdict verdict = this->ledger.OnCrash(aCrash, this->clock.Now());
-  if (verdict != CrashVerdict::Innocent && aEvidence == Evidence::Found) {
+  if (verdict != CrashVerdict::Ignored && aProvenance == Provenance::Observed) {
     if (this->blamedHere.size() >= kMostBlamedHere) {
       std::erase_if(this->blamedHere, [this](RequestFingerprint aRequest) {
-        return !this->ledger.IsBlamed(aRequest);
+        return !this->ledger.HasCrashes(aRequest);
       });
     }
     this->blamedHere.insert(aCrash.request);
   }
   if (verdict == CrashVerdict::Blocked) {
     LogWarning("request_blocked", {{"fingerprint", TextOf(aCrash.request)},
-                                   {"told", aEvidence == Evidence::Told}});
+                                   {"told", aProvenance == Provenance::Told}});
     this->listener.OnBlocked(aCrash.request);
   }
   return verdict;
 }
 
-void CrashWatch::OnAnswered(RequestFingerprint aRequest) {
+void CrashDetector::OnAnswered(RequestFingerprint aRequest) {
   if (!this->ledger.OnAnswered(aRequest, this->clock.Now())) {
     return;
   }
@@ -278,7 +279,7 @@
   this->listener.OnCleared(aRequest);
 }
 
-bool CrashWatch::TakeCleared(RequestFingerprint aRequest) {
+bool CrashDetector::OnClearedByPeer(RequestFingerprint aRequest) {
   if (this->ledger.Clear(aRequest)) {
     LogInfo("request_cleared", {{"fingerprint", TextOf(aRequest)}});
   }
--- a/Zincstep/Relay/CrashWatch.h
+++ b/Zincstep/Relay/CrashDetector.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "Zincstep/Admission/Admission.h"
-#include "Zincstep/Relay/LifeCheck.h"
+#include "Zincstep/Relay/LivenessCheck.h"
 
 namespace zincstep {
 
@@ -21,7 +21,7 @@
   /// From now on a request must not run.
   virtual void OnBlocked(RequestFingerprint aRequest) = 0;
   /// An upstream has come under suspicion.
-  virtual void OnCrashSuspicion() = 0;
+  virtual void OnUpstreamSuspected() = 0;
 };
 
 /// Finds out whether upstreams have ended under requests whose runs broke off.
@@ -32,10 +32,10 @@
 /// at growing pauses. If a connection that is accepted, or a time-out that a
 /// busy daemon noticed late, closed the question, the same request could end
 /// one upstream after the other.
-class CrashWatch {
+class CrashDetector {
  public:
-  CrashWatch(CrashLedger& aLedger, UpstreamControl& aControl,
-             const Clock& aClock, CrashListener& aListener);
+  CrashDetector(CrashTracker& aLedger, UpstreamControl& aControl,
+                const Clock& aClock, CrashListener& aListener);
 
   /// A run of that request broke off before any of its answer came.
   void OnRunLost(RequestFingerprint aRequest, const UpstreamPtr& aUpstream);
@@ -44,10 +44,10 @@
   /// The request has been answered whole.
   void OnAnswered(RequestFingerprint aRequest);
   /// Takes what was found here or told by another daemon.
-  CrashVerdict Take(const UpstreamCrash& aCrash, Evidence aEvidence);
+  CrashVerdict Take(const UpstreamCrash& aCrash, Provenance aProvenance);
   /// Takes that the request has been answered whole elsewhere. True: it was
   /// blamed by what was found here, so that the others have to be told.
-  bool TakeCleared(RequestFingerprint aRequest);
+  bool OnClearedByPeer(RequestFingerprint aRequest);
   /// Asks again where it is due; to be called many times a second.
   void Tick();
 
@@ -75,9 +75,9 @@
   };
 
   void Try(std::uint64_t aUpstream);
-  void OnAsked(std::uint64_t aUpstream, LifeSign aSign);
+  void OnAsked(std::uint64_t aUpstream, Liveness aSign);
   void Connect(std::uint64_t aUpstream);
-  void OnConnected(std::uint64_t aUpstream, LifeSign aSign);
+  void OnConnected(std::uint64_t aUpstream, Liveness aSign);
   /// Takes that one more try was not answered. True: so many in a row prove an
   /// end.
   bool CountUnanswered(std::uint64_t aUpstream);
@@ -86,7 +86,7 @@
   /// The list decides on runs about which nothing was known for too long.
   void GiveUp(std::uint64_t aUpstream);
   /// The upstream lives.
-  void OnLives(std::uint64_t aUpstream, const char* aReason);
+  void OnAlive(std::uint64_t aUpstream, const char* aReason);
   void OnEnded(std::uint64_t aUpstream, const char* aReason);
   /// Takes out of the ledger what was open about these runs.
   void Settle(const Question& aQuestion, const std::vector<LostRun>& aRuns,
@@ -96,10 +96,10 @@
 
   /// Requests that were blamed by this daemon first; the others believe it.
   std::unordered_set<RequestFingerprint> blamedHere;
-  CrashLedger& ledger;
+  CrashTracker& ledger;
   const Clock& clock;
   CrashListener& listener;
-  LifeCheck check;
+  LivenessCheck check;
   /// By the numbers of the upstreams.
   std::unordered_map<std::uint64_t, Question> questions;
 };
--- a/Zincstep/Relay/LostDomains.cpp
+++ b/Zincstep/Relay/DomainRecoveryMonitor.cpp
@@ -1,4 +1,4 @@
-#include "Zincstep/Relay/LostDomains.h"
+#include "Zincstep/Relay/DomainRecoveryMonitor.h"
 
 #include <algorithm>
 #include <iterator>
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void LostDomains::Tick(const UpstreamDirectory& aDirectory) {
+void DomainRecoveryMonitor::Tick(const UpstreamDirectory& aDirectory) {
   const Instant now = this->clock.Now();
   for (const auto& [domain, all] : aDirectory.ModelsByDomain()) {
     Members members;
@@ -45,7 +45,7 @@
   }
 }
 
-void LostDomains::Ask(Question& aQuestion, const Members& aMembers) {
+void DomainRecoveryMonitor::Ask(Question& aQuestion, const Members& aMembers) {
   // Another one than last time, which may be dead.
   const std::size_t count = aMembers.suspects.size();
   const std::size_t pick = this->random.Below(count);
@@ -56,13 +56,13 @@
   this->probe.Verify(aQuestion.asked);
 }
 
-void LostDomains::TakeBack(const std::string& aDomain,
-                           const Members& aMembers) {
+void DomainRecoveryMonitor::TakeBack(const std::string& aDomain,
+                                     const Members& aMembers) {
   LogInfo("domain_answers_again", {{"failure_domain", aDomain},
                                    {"suspects", aMembers.suspects.size()},
                                    {"members", aMembers.all}});
   for (const UpstreamPtr& upstream : aMembers.suspects) {
-    upstream->TakeSuspicionBack();
+    upstream->ClearSuspicion();
     this->probe.Verify(upstream);
   }
 }
--- a/Zincstep/Relay/LostDomains.h
+++ b/Zincstep/Relay/DomainRecoveryMonitor.h
@@ -3,7 +3,7 @@
 #include <map>
 #include <string>
 
-#include "Zincstep/Relay/MemberProbe.h"
+#include "Zincstep/Relay/UpstreamProber.h"
 
 namespace zincstep {
 
@@ -15,9 +15,10 @@
 /// chain at all. So one of them is asked now and then, and once it answers
 /// the suspicions of the whole domain are taken back; who is dead for other
 /// reasons is found again by its silence.
-class LostDomains {
+class DomainRecoveryMonitor {
  public:
-  LostDomains(MemberProbe& aProbe, const Clock& aClock, Random& aRandom)
+  DomainRecoveryMonitor(UpstreamProber& aProbe, const Clock& aClock,
+                        Random& aRandom)
       : probe(aProbe), clock(aClock), random(aRandom) {}
 
   /// Asks and takes back where it is time; to be called several times a second.
@@ -38,7 +39,7 @@
   void TakeBack(const std::string& aDomain, const Members& aMembers);
   void Ask(Question& aQuestion, const Members& aMembers);
 
-  MemberProbe& probe;
+  UpstreamProber& probe;
   const Clock& clock;
   Random& random;
   std::map<std::string, Question> questions;
--- a/Zincstep/Relay/Exchange.cpp
+++ b/Zincstep/Relay/Exchange.cpp
@@ -35,7 +35,7 @@
 Exchange::Exchange(RelayContext& aContext, AdmittedRequest aRequest)
     : context(aContext), request(std::move(aRequest)) {}
 
-void Exchange::OnCallerGone() {
+void Exchange::OnCallerDisconnected() {
   this->CancelCall();
   this->Finish("caller_gone", "the caller has left");
 }
@@ -43,7 +43,8 @@
 Micros Exchange::ComeBackAfter(ErrorKind aKind) const {
   const RelaySettings& settings = this->context.settings;
   const std::optional<ModelShape>& model = this->request.service->model;
-  Micros after = std::min(AnswerFor(aKind).retryAfter, settings.busyRetryAfter);
+  Micros after =
+      std::min(ErrorInfoFor(aKind).retryAfter, settings.busyRetryAfter);
   if (aKind == ErrorKind::NoCapacity && model) {
     after =
         FromSeconds(ToSeconds(model->loadTime) * settings.restoredAfterLoads);
@@ -61,7 +62,7 @@
 
 void Exchange::Refuse(ErrorKind aKind, const char* aReason) {
   this->CancelCall();
-  const ErrorAnswer& answer = AnswerFor(aKind);
+  const ErrorInfo& answer = ErrorInfoFor(aKind);
   ZINCSTEP_ASSERT(answer.outcome != Outcome::NotRun || !this->hasBegun);
   HttpHeaders headers = this->context.dialect.OwnAnswer(this->request.facts.id);
   if (answer.outcome == Outcome::NotRun) {
@@ -144,7 +145,7 @@
                     this->context.settings.connectTimeout, this->Kept());
 }
 
-std::optional<KeptConnections> Exchange::Kept() const {
+std::optional<PooledConnections> Exchange::Kept() const {
   // A kept connection may have closed: what was sent on it may have run, and
   // is not sent again where it must not run twice.
   const Route& route = *this->request.route;
@@ -156,7 +157,7 @@
   // faults.
   const bool isFirst = this->sends <= 1;
   return mayRunAgain && isFirst
-             ? std::optional(KeptConnections{
+             ? std::optional(PooledConnections{
                    &this->context.kept,
                    this->upstream->Entry().Incarnation().Text()})
              : std::nullopt;
@@ -180,7 +181,7 @@
 }
 
 bool Exchange::IsBlocked() {
-  const CrashLedger& crashes = this->context.crashes;
+  const CrashTracker& crashes = this->context.crashes;
   return crashes.MayBlock() &&
          crashes.BlockedFor(this->Fingerprint(), this->Now()) > Micros{0};
 }
@@ -195,11 +196,11 @@
   // Of 25 upstreams that ended, 21 had one to four requests in this state, of
   // up to 82: whoever is guilty is among few.
   if (!this->HasRunBegun()) {
-    this->context.crashWatch.OnRunLost(this->Fingerprint(), this->upstream);
+    this->context.crashDetector.OnRunLost(this->Fingerprint(), this->upstream);
   }
 }
 
-void Exchange::OnRefused(const AnswerFacts& aFacts, int aStatus) {
+void Exchange::OnRefused(const ResponseInfo& aFacts, int aStatus) {
   const bool isSucceeded = !aFacts.answeredBy.empty() &&
                            aFacts.answeredBy != this->upstream->Entry().id;
   LogInfo("upstream_refused",
@@ -214,7 +215,7 @@
   }
 }
 
-void Exchange::TakeNotice(const AnswerFacts& aFacts) {
+void Exchange::ApplyNotice(const ResponseInfo& aFacts) {
   // What answers another request may be a surplus answer, and old.
   if (aFacts.requestId == this->request.facts.id) {
     this->context.limits.OnNotice(this->upstream, aFacts.notice, this->sentAt);
@@ -222,7 +223,7 @@
 }
 
 void Exchange::OnRunWhole() {
-  this->context.crashWatch.OnAnswered(this->Fingerprint());
+  this->context.crashDetector.OnAnswered(this->Fingerprint());
 }
 
 void Exchange::OnBlocked(RequestFingerprint aRequest) {
@@ -246,17 +247,17 @@
   }
 }
 
-bool Exchange::TakeResend() {
-  return this->sends < this->context.settings.mostSends &&
+bool Exchange::TryAcquireResend() {
+  return this->sends < this->context.settings.maxSends &&
          this->Now() < this->request.end && !this->IsBlocked();
 }
 
-bool Exchange::TakeRetry(double aKept) {
-  if (!this->TakeResend()) {
+bool Exchange::TryAcquireRetry(double aKept) {
+  if (!this->TryAcquireResend()) {
     return false;
   }
   RetryBudget& budget = this->context.BudgetOf(this->request.service->name);
-  const bool isTaken = budget.TakeRetry(aKept);
+  const bool isTaken = budget.TryAcquireRetry(aKept);
   if (!isTaken && !this->wasRetryDenied) {
     this->wasRetryDenied = true;
     this->context.metrics.Count("zincstep_retries_denied_total");
@@ -286,11 +287,11 @@
 bool Exchange::AwaitsFirstList() const {
   return !this->context.view.KnowsUpstreams() &&
          this->Now() - this->request.message.readAt <
-             this->context.settings.firstBeliefsPatience;
+             this->context.settings.initialStateTimeout;
 }
 
 bool Exchange::IsForeign(const HttpHead& aHead,
-                         const AnswerFacts& aFacts) const {
+                         const ResponseInfo& aFacts) const {
   const bool isSuccess =
       aHead.status >= kFirstSuccessStatus && aHead.status < kFirstFailureStatus;
   return aFacts.requestId != this->request.facts.id || aFacts.isEncoded ||
--- a/Zincstep/Relay/Exchange.h
+++ b/Zincstep/Relay/Exchange.h
@@ -44,7 +44,7 @@
   /// Looks at limits of time; to be called several times a second.
   virtual void OnTick(Instant aNow) = 0;
   /// The caller has left: all work for it ends.
-  virtual void OnCallerGone();
+  virtual void OnCallerDisconnected();
   /// An upstream has reported on the requests that stand still there.
   virtual void OnReport(const UpstreamPtr&, const Result<UpstreamReport>&) {}
   /// An upstream whose report is wanted, or null.
@@ -69,7 +69,7 @@
             std::optional<std::uint64_t> aLastEventId);
   /// The kept connections that the request may use; none where it must not be
   /// sent twice.
-  std::optional<KeptConnections> Kept() const;
+  std::optional<PooledConnections> Kept() const;
   /// Ends the present call, if any.
   void CancelCall();
   /// Whether any of the present run's answer has come: who crashes an upstream
@@ -81,9 +81,9 @@
   void OnRunLost(const char* aReason);
   /// The upstream has refused the request; where another one answers at its
   /// address, it has ended.
-  void OnRefused(const AnswerFacts& aFacts, int aStatus);
+  void OnRefused(const ResponseInfo& aFacts, int aStatus);
   /// Takes what the head of an answer says of the upstream.
-  void TakeNotice(const AnswerFacts& aFacts);
+  void ApplyNotice(const ResponseInfo& aFacts);
   /// A run has ended with its whole answer, a success.
   void OnRunWhole();
   /// What the request is, whichever attempt.
@@ -94,10 +94,10 @@
   void Suspect(LiveUpstream& aUpstream);
   /// Whether another send is allowed by count and budget; `aKept` is the
   /// share of the budget that it may not use.
-  bool TakeRetry(double aKept);
+  bool TryAcquireRetry(double aKept);
   /// Whether one is allowed after a connection that did not come up. The
   /// upstream got nothing, so that the budget is not touched.
-  bool TakeResend();
+  bool TryAcquireResend();
   /// Notes that the request would go to one of the service's upstreams if they
   /// took another call now. False: there is none of them.
   bool NoteCallWait(bool aIsFirstOfChain);
@@ -105,7 +105,7 @@
   bool AwaitsFirstList() const;
   /// Whether an answer of that kind can only be some other request's, or
   /// was changed on its way.
-  bool IsForeign(const HttpHead& aHead, const AnswerFacts& aFacts) const;
+  bool IsForeign(const HttpHead& aHead, const ResponseInfo& aFacts) const;
   /// Fields of an answer that are the caller's too.
   static HttpHeaders PassedHeaders(const HttpHead& aHead);
   /// When the caller should come back: less than it will wait.
--- a/Zincstep/Relay/LifeCheck.cpp
+++ b/Zincstep/Relay/LivenessCheck.cpp
@@ -1,40 +1,41 @@
-#include "Zincstep/Relay/LifeCheck.h"
+#include "Zincstep/Relay/LivenessCheck.h"
 
 namespace zincstep {
 
-void LifeCheck::Ask(const UpstreamPtr& aUpstream, Micros aTimeout, Done aDone) {
+void LivenessCheck::Ask(const UpstreamPtr& aUpstream, Micros aTimeout,
+                        Done aDone) {
   const Instant latest = this->clock.Now() + aTimeout + this->lateness;
   this->control.Report(
       aUpstream->Entry(), aTimeout,
       [this, latest,
        done = std::move(aDone)](const Result<UpstreamReport>& aReport) {
         if (aReport) {
-          done(LifeSign::Lives, &*aReport);
+          done(Liveness::Alive, &*aReport);
         } else if (aReport.error().kind == ErrorKind::UpstreamEnded) {
-          done(LifeSign::Ended, nullptr);
-        } else if (aReport.error().kind == ErrorKind::AnswerIncomplete) {
-          done(LifeSign::Dropped, nullptr);
+          done(Liveness::Ended, nullptr);
+        } else if (aReport.error().kind == ErrorKind::ResponseIncomplete) {
+          done(Liveness::Dropped, nullptr);
         } else {
           done(this->SilenceAt(latest), nullptr);
         }
       });
 }
 
-void LifeCheck::Connect(const UpstreamPtr& aUpstream, Micros aTimeout,
-                        Done aDone) {
+void LivenessCheck::Connect(const UpstreamPtr& aUpstream, Micros aTimeout,
+                            Done aDone) {
   const Instant latest = this->clock.Now() + aTimeout + this->lateness;
-  this->control.Reach(
+  this->control.ProbeConnection(
       aUpstream->Entry(), aTimeout,
       [this, latest, done = std::move(aDone)](Reachability aReachability) {
         switch (aReachability) {
           case Reachability::Reached:
-            done(LifeSign::Unknown, nullptr);
+            done(Liveness::Unknown, nullptr);
             break;
           case Reachability::Dropped:
-            done(LifeSign::Dropped, nullptr);
+            done(Liveness::Dropped, nullptr);
             break;
           case Reachability::Refused:
-            done(LifeSign::Ended, nullptr);
+            done(Liveness::Ended, nullptr);
             break;
           case Reachability::Silent:
             done(this->SilenceAt(latest), nullptr);
--- a/Zincstep/Relay/LifeCheck.h
+++ b/Zincstep/Relay/LivenessCheck.h
@@ -7,9 +7,9 @@
 namespace zincstep {
 
 /// What a question to an upstream has shown of the incarnation that was meant.
-enum class LifeSign {
+enum class Liveness {
   /// It has answered a question that was asked under its name.
-  Lives,
+  Alive,
   /// Nobody accepts connections at its address, or another one answers there.
   Ended,
   /// A connection came up and was closed without an answer. One may be reset
@@ -26,13 +26,14 @@
 /// Asks upstreams whether they live, and says what each answer proves.
 ///
 /// Keeps no state: who asks decides how often, and what to believe.
-class LifeCheck {
+class LivenessCheck {
  public:
-  /// The report comes with `Lives` where one was asked for, else null.
-  using Done = std::function<void(LifeSign, const UpstreamReport*)>;
+  /// The report comes with `Alive` where one was asked for, else null.
+  using Done = std::function<void(Liveness, const UpstreamReport*)>;
 
   /// A time-out that is noticed later than by `aLateness` proves nothing.
-  LifeCheck(UpstreamControl& aControl, const Clock& aClock, Micros aLateness)
+  LivenessCheck(UpstreamControl& aControl, const Clock& aClock,
+                Micros aLateness)
       : control(aControl), clock(aClock), lateness(aLateness) {}
 
   /// Whether an upstream gives reports, and takes a call now.
@@ -47,8 +48,8 @@
 
  private:
   /// No answer came until now, of a question that had time until `aLatest`.
-  LifeSign SilenceAt(Instant aLatest) const {
-    return this->clock.Now() > aLatest ? LifeSign::Unknown : LifeSign::Silent;
+  Liveness SilenceAt(Instant aLatest) const {
+    return this->clock.Now() > aLatest ? Liveness::Unknown : Liveness::Silent;
   }
 
   UpstreamControl& control;
--- a/Zincstep/Relay/Relay.cpp
+++ b/Zincstep/Relay/Relay.cpp
@@ -19,7 +19,7 @@
 
 Result<void> Relay::CheckKey(AdmittedRequest& aRequest) const {
   const RouteTable& table = *aRequest.table;
-  const auto age = this->context.view.ProofAge();
+  const auto age = this->context.view.ValidationAge();
   const bool isSure = age && *age <= kSureRefusalAge;
   const RoutedOrganisation* organisation =
       table.FindOrganisation(aRequest.facts.apiKey);
@@ -35,7 +35,7 @@
                ? Fail(ErrorKind::Unauthenticated, "no such key")
                : Fail(ErrorKind::NotReady, "unknown key, old configuration");
   }
-  const bool isFresh = age && *age <= this->context.settings.longestProofAge;
+  const bool isFresh = age && *age <= this->context.settings.maxValidationAge;
   if (this->context.settings.failsClosed && !isFresh) {
     return Fail(ErrorKind::NotReady, "no proof that the key still holds");
   }
@@ -43,7 +43,7 @@
 }
 
 Result<void> Relay::CheckCrashes(const AdmittedRequest& aRequest) const {
-  const CrashLedger& crashes = this->context.crashes;
+  const CrashTracker& crashes = this->context.crashes;
   if (!crashes.MayBlock()) {
     return {};
   }
@@ -71,7 +71,7 @@
   request.route =
       request.table->FindRoute(request.facts.host, request.message.head.target);
   if (request.route == nullptr) {
-    const auto age = this->context.view.ProofAge();
+    const auto age = this->context.view.ValidationAge();
     return age && *age <= kSureRefusalAge
                ? Fail(ErrorKind::UnknownRoute, "no route")
                : Fail(ErrorKind::NotReady, "no route, old configuration");
@@ -104,7 +104,7 @@
                       CallerMessage aMessage) {
   const Micros waited = this->context.clock.Now() - aMessage.readAt;
   if (!this->context.view.Table() &&
-      waited < this->context.settings.firstBeliefsPatience) {
+      waited < this->context.settings.initialStateTimeout) {
     this->early.push_back({aConnection, std::move(aMessage)});
     return;
   }
@@ -130,14 +130,14 @@
 
 void Relay::RefuseAtOnce(CallerConnection& aConnection, const std::string& aId,
                          const Error& aError) {
-  const ErrorAnswer& answer = AnswerFor(aError.kind);
+  const ErrorInfo& answer = ErrorInfoFor(aError.kind);
   HttpHeaders headers = this->context.dialect.OwnAnswer(aId);
   const Micros after = aError.retryAfter.value_or(
       std::min(answer.retryAfter, this->context.settings.busyRetryAfter));
   if (after > Micros{0}) {
     headers.push_back(RetryAfterHeader(after));
   }
-  const auto age = this->context.view.ProofAge();
+  const auto age = this->context.view.ValidationAge();
   LogInfo("request_refused",
           {{"request", aId},
            {"kind", answer.name},
@@ -155,7 +155,7 @@
   waiting.swap(this->early);
   for (EarlyRequest& one : waiting) {
     const Micros waited = aNow - one.message.readAt;
-    if (isConfigured || waited >= this->context.settings.firstBeliefsPatience) {
+    if (isConfigured || waited >= this->context.settings.initialStateTimeout) {
       this->OnRequest(one.connection, std::move(one.message));
     } else {
       this->early.push_back(std::move(one));
@@ -163,13 +163,13 @@
   }
 }
 
-void Relay::OnCallerGone(CallerConnection& aConnection) {
+void Relay::OnCallerDisconnected(CallerConnection& aConnection) {
   std::erase_if(this->early, [&](const EarlyRequest& aOne) {
     return aOne.connection.get() == &aConnection;
   });
   const auto found = this->exchanges.find(&aConnection);
   if (found != this->exchanges.end()) {
-    found->second->OnCallerGone();
+    found->second->OnCallerDisconnected();
     this->exchanges.erase(found);
   }
 }
@@ -193,7 +193,7 @@
   }
   this->AskReports(now);
   this->context.probe.Tick();
-  this->context.crashWatch.Tick();
+  this->context.crashDetector.Tick();
   std::erase_if(this->exchanges,
                 [](const auto& aEntry) { return aEntry.second->IsDone(); });
 }
@@ -216,7 +216,7 @@
       continue;
     }
     Instant& last = this->asked[upstream->Number()];
-    if (aNow - last < this->context.settings.stallQuestionPause) {
+    if (aNow - last < this->context.settings.stallQueryInterval) {
       continue;
     }
     last = aNow;
--- a/Zincstep/Relay/Relay.h
+++ b/Zincstep/Relay/Relay.h
@@ -22,7 +22,7 @@
 
   void OnRequest(const std::shared_ptr<CallerConnection>& aConnection,
                  CallerMessage aMessage) override;
-  void OnCallerGone(CallerConnection& aConnection) override;
+  void OnCallerDisconnected(CallerConnection& aConnection) override;
   /// Looks at all limits of time; to be called many times a second.
   void Tick();
 
--- a/Zincstep/Relay/RelayContext.h
+++ b/Zincstep/Relay/RelayContext.h
@@ -7,10 +7,10 @@
 #include "Zincstep/Admission/Admission.h"
 #include "Zincstep/Cluster/Cluster.h"
 #include "Zincstep/Net/ConnectionPool.h"
-#include "Zincstep/Relay/CrashWatch.h"
-#include "Zincstep/Relay/MemberProbe.h"
+#include "Zincstep/Relay/CrashDetector.h"
 #include "Zincstep/Relay/RelayDialect.h"
 #include "Zincstep/Relay/StopPolicy.h"
+#include "Zincstep/Relay/UpstreamProber.h"
 #include "Zincstep/Telemetry/Telemetry.h"
 
 namespace zincstep {
@@ -20,7 +20,7 @@
   std::string failureDomain;
   /// Longest age of the proof that keys have not changed; the operators'
   /// bound less a margin for what is decided between proof and use.
-  Micros longestProofAge = 4800ms;
+  Micros maxValidationAge = 4800ms;
   /// Whether a key is refused without such a proof.
   bool failsClosed = true;
   /// Retries of all daemons together, as a share of requests, and beyond.
@@ -41,7 +41,7 @@
   /// it).
   Micros connectionSilence = 1s;
   /// Pause between questions to one upstream about its stalled requests.
-  Micros stallQuestionPause = 150ms;
+  Micros stallQueryInterval = 150ms;
   Micros reportTimeout = 300ms;
   /// Pause between attempts to repair one stream.
   Micros repairPause = 200ms;
@@ -60,14 +60,14 @@
   /// upstreams, which come some tenths of a second after its start: refused at
   /// once, callers came back after seconds, 1,360 of them in the second after
   /// a loss of power (count of one such day's refusals).
-  Micros firstBeliefsPatience = 1s;
+  Micros initialStateTimeout = 1s;
   /// Times that one request may be sent, rejections included.
-  int mostSends = 6;
+  int maxSends = 6;
   /// Share of the retry budget that is kept for streams that have begun: a
   /// request that has not can come again, a stream cannot.
-  double keptForStreams = 0.5;
+  double reservedForStreams = 0.5;
   /// Bytes that a slow caller may leave untaken before reading stops.
-  std::size_t mostPending = 256 << 10;
+  std::size_t maxPendingBytes = 256 << 10;
 };
 
 /// The field that tells a caller when to come back.
@@ -83,10 +83,10 @@
   const Clock& clock;
   Random& random;
   Metrics& metrics;
-  MemberProbe& probe;
+  UpstreamProber& probe;
   /// Requests under which upstreams have ended.
-  CrashLedger& crashes;
-  CrashWatch& crashWatch;
+  CrashTracker& crashes;
+  CrashDetector& crashDetector;
   /// For requests that may run again.
   ConnectionPool& kept;
   /// Upstreams that name a limit of calls.
--- a/Zincstep/Relay/RelayDialect.h
+++ b/Zincstep/Relay/RelayDialect.h
@@ -13,7 +13,7 @@
 struct TokenUse {
   double prompt = 0;
   /// Most tokens that the answer may have.
-  double mostOut = 0;
+  double maxOut = 0;
   /// The caller's guess of the answer's tokens; often far off.
   double guessedOut = 0;
 };
@@ -49,7 +49,7 @@
 };
 
 /// What the head of an upstream's answer says.
-struct AnswerFacts {
+struct ResponseInfo {
   /// The request that it answers.
   std::string requestId;
   /// The upstream promises that it has not run the request.
@@ -75,7 +75,7 @@
   virtual RelayRequest ReadRequest(const HttpHead& aHead) const = 0;
   /// The request's bytes as they go to the upstream.
   virtual std::string WriteRequest(const ForwardedRequest& aRequest) const = 0;
-  virtual AnswerFacts ReadAnswer(const HttpHead& aHead) const = 0;
+  virtual ResponseInfo ReadResponse(const HttpHead& aHead) const = 0;
   /// Fields of an answer of our own to request `aId`.
   virtual HttpHeaders OwnAnswer(const std::string& aId) const = 0;
 };
--- a/Zincstep/Relay/ServiceExchange.cpp
+++ b/Zincstep/Relay/ServiceExchange.cpp
@@ -31,7 +31,7 @@
   }
   this->tried.push_back(chosen);
   this->head = HttpHead{};
-  this->facts = AnswerFacts{};
+  this->facts = ResponseInfo{};
   this->body.clear();
   chosen->own += 1;
   this->Send(chosen, nullptr, std::nullopt);
@@ -84,20 +84,20 @@
   this->OnFailure(kReason);
 }
 
-void ServiceExchange::OnCallerGone() {
+void ServiceExchange::OnCallerDisconnected() {
   if (!this->IsDone()) {
     this->EndCall();
   }
-  Exchange::OnCallerGone();
+  Exchange::OnCallerDisconnected();
 }
 
-void ServiceExchange::OnAnswerHead(HttpHead aHead) {
+void ServiceExchange::OnResponseHead(HttpHead aHead) {
   this->head = std::move(aHead);
-  this->facts = this->context.dialect.ReadAnswer(this->head);
-  this->TakeNotice(this->facts);
+  this->facts = this->context.dialect.ReadResponse(this->head);
+  this->ApplyNotice(this->facts);
 }
 
-void ServiceExchange::OnAnswerBody(std::string_view aPart) {
+void ServiceExchange::OnResponseBody(std::string_view aPart) {
   this->body.append(aPart);
 }
 
@@ -120,7 +120,8 @@
   this->call.reset();
   if (aEnd == SingleCallEnd::NotConnected) {
     this->Suspect(*this->upstream);
-    this->TakeResend() ? this->TrySend() : this->OnNotRun("no connection");
+    this->TryAcquireResend() ? this->TrySend()
+                             : this->OnNotRun("no connection");
     return;
   }
   if (aEnd != SingleCallEnd::Complete ||
@@ -145,12 +146,12 @@
     return;
   }
   // Not for a refusal: whoever listens at the address by now may have sent it.
-  this->context.crashWatch.OnUpstreamAnswered(*this->upstream, this->sentAt);
+  this->context.crashDetector.OnUpstreamAnswered(*this->upstream, this->sentAt);
   this->hasBegun = true;
   this->runs += 1;
   this->context.services.OnAnswer(*this->upstream, now - this->sentAt);
   if (this->head.status >= kFirstServerError && this->MayRunAgain() &&
-      this->TakeRetry(this->context.settings.keptForStreams)) {
+      this->TryAcquireRetry(this->context.settings.reservedForStreams)) {
     this->TrySend();
     return;
   }
@@ -158,7 +159,7 @@
 }
 
 void ServiceExchange::OnNotRun(const char* aReason) {
-  if (this->TakeRetry(this->context.settings.keptForStreams)) {
+  if (this->TryAcquireRetry(this->context.settings.reservedForStreams)) {
     this->TrySend();
     return;
   }
@@ -169,11 +170,11 @@
 
 void ServiceExchange::OnFailure(const char* aReason) {
   if (this->MayRunAgain() &&
-      this->TakeRetry(this->context.settings.keptForStreams)) {
+      this->TryAcquireRetry(this->context.settings.reservedForStreams)) {
     this->TrySend();
     return;
   }
-  this->Refuse(ErrorKind::AnswerIncomplete, aReason);
+  this->Refuse(ErrorKind::ResponseIncomplete, aReason);
 }
 
 }  // namespace zincstep
--- a/Zincstep/Relay/ServiceExchange.h
+++ b/Zincstep/Relay/ServiceExchange.h
@@ -16,10 +16,10 @@
 
   void Start() override;
   void OnTick(Instant aNow) override;
-  void OnCallerGone() override;
+  void OnCallerDisconnected() override;
 
-  void OnAnswerHead(HttpHead aHead) override;
-  void OnAnswerBody(std::string_view aPart) override;
+  void OnResponseHead(HttpHead aHead) override;
+  void OnResponseBody(std::string_view aPart) override;
   void OnCallEnd(SingleCallEnd aEnd) override;
 
  private:
@@ -37,7 +37,7 @@
 
   std::vector<UpstreamPtr> tried;
   HttpHead head;
-  AnswerFacts facts;
+  ResponseInfo facts;
   std::string body;
   /// It waits for the daemon's first list of upstreams.
   bool isWaiting = false;
--- a/Zincstep/Relay/StopPolicy.cpp
+++ b/Zincstep/Relay/StopPolicy.cpp
@@ -7,13 +7,13 @@
     return true;
   }
   const Micros needed =
-      aIsStream ? this->settings.longestStream : this->settings.longestService;
+      aIsStream ? this->settings.maxStreamTime : this->settings.maxServiceTime;
   const Instant end =
       *this->begunAt + this->settings.grace - this->settings.killMargin;
   return aNow + needed <= end;
 }
 
-bool StopPolicy::ClosesResting(Instant aNow) const {
+bool StopPolicy::ClosesIdle(Instant aNow) const {
   return this->begunAt &&
          aNow - *this->begunAt >= this->settings.balancerNotice;
 }
--- a/Zincstep/Relay/StopPolicy.h
+++ b/Zincstep/Relay/StopPolicy.h
@@ -17,9 +17,9 @@
   Micros killMargin = 500ms;
   /// Longest time that a stream usually takes: one that is taken later
   /// would be cut by the kill.
-  Micros longestStream = 5s;
+  Micros maxStreamTime = 5s;
   /// The same for a request to a plain service.
-  Micros longestService = 1500ms;
+  Micros maxServiceTime = 1500ms;
 };
 
 /// Says what a daemon that is told to stop still does.
@@ -36,7 +36,7 @@
   /// Whether a new stream (else a request to a plain service) is taken.
   bool Takes(bool aIsStream, Instant aNow) const;
   /// Whether connections without a request are to be closed.
-  bool ClosesResting(Instant aNow) const;
+  bool ClosesIdle(Instant aNow) const;
   /// Whether the process may end, with so many requests still running.
   bool MayEnd(std::size_t aActive, Instant aNow) const;
 
--- a/Zincstep/Relay/StreamExchange.cpp
+++ b/Zincstep/Relay/StreamExchange.cpp
@@ -27,7 +27,7 @@
   const ModelShape& model = *this->request.service->model;
   const double guess = use.guessedOut > 0 ? use.guessedOut * kGuessShare
                                           : model.usualAnswer * kGuessShare;
-  const double most = use.mostOut > 0 ? use.mostOut : guess;
+  const double most = use.maxOut > 0 ? use.maxOut : guess;
   this->tokens =
       (use.prompt > 0 ? use.prompt : model.usualPrompt) + std::min(guess, most);
 }
@@ -73,7 +73,7 @@
   this->chain = std::move(*chosen);
   this->Reserve(this->chain);
   this->head = HttpHead{};
-  this->facts = AnswerFacts{};
+  this->facts = ResponseInfo{};
   this->body.clear();
   this->isForeign = false;
   this->hasRunEvents = false;
@@ -128,21 +128,21 @@
   return this->chain.empty() ? ErrorKind::NoCapacity : ErrorKind::Overloaded;
 }
 
-void StreamExchange::OnCallerGone() {
+void StreamExchange::OnCallerDisconnected() {
   this->Release();
-  Exchange::OnCallerGone();
+  Exchange::OnCallerDisconnected();
 }
 
 bool StreamExchange::IsStream() const { return this->head.status == kOk; }
 
-void StreamExchange::OnAnswerHead(HttpHead aHead) {
-  this->facts = this->context.dialect.ReadAnswer(aHead);
+void StreamExchange::OnResponseHead(HttpHead aHead) {
+  this->facts = this->context.dialect.ReadResponse(aHead);
   this->isForeign = this->IsForeign(aHead, this->facts);
   this->head = std::move(aHead);
-  this->TakeNotice(this->facts);
+  this->ApplyNotice(this->facts);
 }
 
-void StreamExchange::OnAnswerBody(std::string_view aPart) {
+void StreamExchange::OnResponseBody(std::string_view aPart) {
   if (this->isForeign) {
     return;
   }
@@ -155,7 +155,7 @@
   this->ready += events;
 }
 
-void StreamExchange::OnAnswerPause() {
+void StreamExchange::OnResponsePause() {
   if (this->ready.empty()) {
     return;
   }
@@ -181,7 +181,7 @@
   this->ready.clear();
   this->passedAt = now;
   this->lastProgress = now;
-  if (connection.PendingBytes() > this->context.settings.mostPending) {
+  if (connection.PendingBytes() > this->context.settings.maxPendingBytes) {
     this->isHeldUp = true;
     this->call->SetReading(false);
   }
@@ -192,7 +192,7 @@
   this->call.reset();
   if (aEnd == SingleCallEnd::NotConnected) {
     this->Suspect(*this->upstream);
-    this->TakeResend() ? this->TryChain() : this->OnNotRun();
+    this->TryAcquireResend() ? this->TryChain() : this->OnNotRun();
     return;
   }
   const bool isWhole = aEnd == SingleCallEnd::Complete && !this->isForeign;
@@ -245,7 +245,7 @@
       this->Suspect(*hop.upstream);
       continue;
     }
-    hop.upstream->PassOver(aNow + this->context.settings.refusalPause);
+    hop.upstream->EjectUntil(aNow + this->context.settings.refusalPause);
     // It may be dead rather than full: those before it refuse for it then.
     // Unasked, one that had gone dark while the store was away was tried again
     // after each pause, 340 of 661 refused streams of such a day.
@@ -259,7 +259,7 @@
 }
 
 void StreamExchange::OnNotRun() {
-  if (this->TakeRetry(this->KeptBudget())) {
+  if (this->TryAcquireRetry(this->ReservedBudget())) {
     this->TryChain();
   } else if (this->headSent) {
     this->WaitForRetry();
@@ -268,8 +268,8 @@
   }
 }
 
-double StreamExchange::KeptBudget() const {
-  return this->headSent ? 0 : this->context.settings.keptForStreams;
+double StreamExchange::ReservedBudget() const {
+  return this->headSent ? 0 : this->context.settings.reservedForStreams;
 }
 
 void StreamExchange::WaitForRetry() {
@@ -279,7 +279,7 @@
 }
 
 void StreamExchange::OnLost(const char* aReason) {
-  this->upstream->PassOver(this->Now() + this->context.settings.refusalPause);
+  this->upstream->EjectUntil(this->Now() + this->context.settings.refusalPause);
   this->Resume(aReason);
 }
 
@@ -290,7 +290,8 @@
 
 void StreamExchange::Resume(const char* aReason) {
   const bool mayResume = this->MayResume();
-  const bool hasRetry = mayResume && this->TakeRetry(this->KeptBudget());
+  const bool hasRetry =
+      mayResume && this->TryAcquireRetry(this->ReservedBudget());
   if (this->call && !hasRetry) {
     return;  // What stands still may go on by itself.
   }
@@ -331,12 +332,13 @@
     return;
   }
   if (this->isWaiting) {
-    this->needsRetry = this->needsRetry && !this->TakeRetry(this->KeptBudget());
+    this->needsRetry =
+        this->needsRetry && !this->TryAcquireRetry(this->ReservedBudget());
     this->needsRetry ? this->WaitForChain() : this->TryChain();
     return;
   }
   if (this->isHeldUp && this->request.connection->PendingBytes() <
-                            this->context.settings.mostPending / 2) {
+                            this->context.settings.maxPendingBytes / 2) {
     this->isHeldUp = false;
     this->lastProgress = aNow;
     this->call->SetReading(true);
--- a/Zincstep/Relay/StreamExchange.h
+++ b/Zincstep/Relay/StreamExchange.h
@@ -20,14 +20,14 @@
 
   void Start() override;
   void OnTick(Instant aNow) override;
-  void OnCallerGone() override;
+  void OnCallerDisconnected() override;
   void OnReport(const UpstreamPtr& aUpstream,
                 const Result<UpstreamReport>& aReport) override;
   UpstreamPtr WantsReport(Instant aNow) override;
 
-  void OnAnswerHead(HttpHead aHead) override;
-  void OnAnswerBody(std::string_view aPart) override;
-  void OnAnswerPause() override;
+  void OnResponseHead(HttpHead aHead) override;
+  void OnResponseBody(std::string_view aPart) override;
+  void OnResponsePause() override;
   void OnCallEnd(SingleCallEnd aEnd) override;
 
  private:
@@ -38,7 +38,7 @@
   /// A stream that has begun waits for the budget rather than end.
   void WaitForRetry();
   /// Share of the retry budget that this request may not use.
-  double KeptBudget() const;
+  double ReservedBudget() const;
   void Reserve(const PoolChain& aChain);
   void Release();
   void EndStream();
@@ -65,7 +65,7 @@
   std::optional<PoolChain> RepairedChain(Instant aNow);
   /// Moves a running stream off members that leave or give layers up.
   void MoveOn(Instant aNow);
-  void Repath(const PoolChain& aChain);
+  void Reroute(const PoolChain& aChain);
   bool IsLeft(const PoolHop& aHop, Instant aNow) const;
   /// Leaves out a member that an upstream named; false: no other chain is to
   /// be tried now.
@@ -82,7 +82,7 @@
   /// Members at fault for refused changes of the chain.
   std::vector<UpstreamPtr> blamed;
   HttpHead head;
-  AnswerFacts facts;
+  ResponseInfo facts;
   /// Whole events that wait to be passed on together.
   std::string ready;
   /// Body of an answer that is no stream.
--- a/Zincstep/Relay/StreamRepair.cpp
+++ b/Zincstep/Relay/StreamRepair.cpp
@@ -80,7 +80,7 @@
   const bool isLong = this->Silence(aNow) >= kLeftSilence;
   const bool hasLost = std::any_of(
       this->chain.begin() + 1, this->chain.end(), [&](const PoolHop& aHop) {
-        const bool isLeft = aHop.upstream->IsGone() ||
+        const bool isLeft = aHop.upstream->IsDeregistered() ||
                             !aHop.upstream->Entry().layers.Covers(aHop.layers);
         return aHop.upstream->HasEnded() || aHop.upstream->IsSuspect(aNow) ||
                (isLong && isLeft);
@@ -131,7 +131,7 @@
   }
   const auto chain = this->RepairedChain(aNow);
   if (chain && !SameMembers(*chain, this->chain)) {
-    this->Repath(*chain);
+    this->Reroute(*chain);
   }
 }
 
@@ -200,17 +200,18 @@
     this->Resume("no other holder of the lost layers");
     return;
   }
-  this->Repath(*repaired);
+  this->Reroute(*repaired);
 }
 
-void StreamExchange::Repath(const PoolChain& aChain) {
+void StreamExchange::Reroute(const PoolChain& aChain) {
   this->isRepairing = true;
-  this->context.control.Repath(this->request.facts.id, aChain,
-                               [self = std::static_pointer_cast<StreamExchange>(
-                                    this->shared_from_this()),
-                                aChain](const Result<OrderOutcome>& aOutcome) {
-                                 self->OnRepaired(aChain, aOutcome);
-                               });
+  this->context.control.Reroute(
+      this->request.facts.id, aChain,
+      [self =
+           std::static_pointer_cast<StreamExchange>(this->shared_from_this()),
+       aChain](const Result<OrderOutcome>& aOutcome) {
+        self->OnRepaired(aChain, aOutcome);
+      });
 }
 
 bool StreamExchange::Blame(const PoolChain& aChain,
@@ -220,7 +221,7 @@
         hop.upstream == this->upstream) {
       continue;
     }
-    hop.upstream->PassOver(this->Now() + this->context.settings.refusalPause);
+    hop.upstream->EjectUntil(this->Now() + this->context.settings.refusalPause);
     this->context.probe.Ask(hop.upstream);
     this->blamed.push_back(hop.upstream);
     return this->blamed.size() <= kMostBlamed;
@@ -235,7 +236,7 @@
     return;
   }
   const Instant now = this->Now();
-  const bool isTaken = aOutcome && aOutcome->answer == OrderAnswer::Taken;
+  const bool isTaken = aOutcome && aOutcome->answer == OrderStatus::Taken;
   LogInfo("stream_repaired", {{"request", this->request.facts.id},
                               {"taken", isTaken},
                               {"at_fault", aOutcome ? aOutcome->atFault : ""},
--- a/Zincstep/Relay/MemberProbe.cpp
+++ b/Zincstep/Relay/UpstreamProber.cpp
@@ -1,19 +1,19 @@
-#include "Zincstep/Relay/MemberProbe.h"
+#include "Zincstep/Relay/UpstreamProber.h"
 
 #include "Zincstep/Telemetry/Telemetry.h"
 
 namespace zincstep {
 
-MemberProbe::MemberProbe(MemberProbeSettings aSettings,
-                         UpstreamControl& aControl, const Clock& aClock,
-                         OnSuspicion aOnSuspicion)
+UpstreamProber::UpstreamProber(UpstreamProberSettings aSettings,
+                               UpstreamControl& aControl, const Clock& aClock,
+                               OnSuspicion aOnSuspicion)
     : settings(aSettings),
       clock(aClock),
       check(aControl, aClock, aSettings.latestTimeout),
       onSuspicion(std::move(aOnSuspicion)),
-      tokens(aSettings.mostPerSecond, aSettings.mostAtOnce) {}
+      tokens(aSettings.maxPerSecond, aSettings.maxBurst) {}
 
-bool MemberProbe::TakeToken(Instant aNow) {
+bool UpstreamProber::TryAcquireToken(Instant aNow) {
   if (this->tokens.At(aNow) < 1) {
     return false;
   }
@@ -21,35 +21,35 @@
   return true;
 }
 
-void MemberProbe::Ask(const UpstreamPtr& aUpstream) {
+void UpstreamProber::Ask(const UpstreamPtr& aUpstream) {
   const Instant now = this->clock.Now();
   Record& record = this->records[aUpstream->Number()];
-  if (record.isOpen || now < record.nextAt || !this->TakeToken(now)) {
+  if (record.isOpen || now < record.nextAt || !this->TryAcquireToken(now)) {
     return;
   }
   const bool isFirst = now - record.askedAt > 3 * this->settings.longestPause;
   record.pause = isFirst
                      ? this->settings.firstPause
                      : std::min(2 * record.pause, this->settings.longestPause);
-  record.evidence = Evidence::Found;
+  record.evidence = Provenance::Observed;
   this->Start(record, aUpstream, now);
 }
 
-void MemberProbe::Verify(const UpstreamPtr& aUpstream) {
+void UpstreamProber::Verify(const UpstreamPtr& aUpstream) {
   if (!aUpstream->Entry().IsOfModel()) {
     return;
   }
   const Instant now = this->clock.Now();
   Record& record = this->records[aUpstream->Number()];
   const bool isRecent = now - record.askedAt < this->settings.firstPause;
-  if (!record.isOpen && !isRecent && this->TakeToken(now)) {
-    record.evidence = Evidence::Told;
+  if (!record.isOpen && !isRecent && this->TryAcquireToken(now)) {
+    record.evidence = Provenance::Told;
     this->Start(record, aUpstream, now);
   }
 }
 
-void MemberProbe::Start(Record& aRecord, const UpstreamPtr& aUpstream,
-                        Instant aNow) {
+void UpstreamProber::Start(Record& aRecord, const UpstreamPtr& aUpstream,
+                           Instant aNow) {
   aRecord.upstream = aUpstream;
   aRecord.askedAt = aNow;
   aRecord.nextAt = aNow + aRecord.pause;
@@ -57,11 +57,11 @@
   this->Send(aUpstream, this->settings.tries);
 }
 
-void MemberProbe::Send(const UpstreamPtr& aUpstream, int aTriesLeft) {
+void UpstreamProber::Send(const UpstreamPtr& aUpstream, int aTriesLeft) {
   this->Question(aUpstream, this->settings.timeout,
-                 [this, aUpstream, aTriesLeft](LifeSign aSign) {
+                 [this, aUpstream, aTriesLeft](Liveness aSign) {
                    const bool mayBeLost =
-                       aSign != LifeSign::Lives && aSign != LifeSign::Unknown;
+                       aSign != Liveness::Alive && aSign != Liveness::Unknown;
                    if (!mayBeLost) {
                      this->Close(aUpstream);
                    } else if (aTriesLeft > 1) {
@@ -72,10 +72,10 @@
                  });
 }
 
-void MemberProbe::Question(const UpstreamPtr& aUpstream, Micros aTimeout,
-                           std::function<void(LifeSign)> aDone) {
+void UpstreamProber::Question(const UpstreamPtr& aUpstream, Micros aTimeout,
+                              std::function<void(Liveness)> aDone) {
   auto take = [this, aUpstream, done = std::move(aDone)](
-                  LifeSign aSign, const UpstreamReport* aReport) {
+                  Liveness aSign, const UpstreamReport* aReport) {
     if (aReport != nullptr) {
       this->OnAnswer(aUpstream, *aReport);
     }
@@ -86,18 +86,18 @@
       : this->check.Connect(aUpstream, aTimeout, std::move(take));
 }
 
-void MemberProbe::OnAnswer(const UpstreamPtr& aUpstream,
-                           const UpstreamReport& aReport) {
+void UpstreamProber::OnAnswer(const UpstreamPtr& aUpstream,
+                              const UpstreamReport& aReport) {
   const Instant now = this->clock.Now();
-  if (aReport.pace != aUpstream->Pace(now)) {
+  if (aReport.pace != aUpstream->Slowdown(now)) {
     LogInfo("upstream_pace",
             {{"upstream", aUpstream->Entry().id}, {"pace", aReport.pace}});
   }
   aUpstream->OnAnswer(now);
-  aUpstream->SetPace(aReport.pace, now);
+  aUpstream->SetSlowdown(aReport.pace, now);
 }
 
-void MemberProbe::OnSilence(const UpstreamPtr& aUpstream) {
+void UpstreamProber::OnSilence(const UpstreamPtr& aUpstream) {
   const Instant now = this->clock.Now();
   if (!aUpstream->IsSuspect(now)) {
     aUpstream->Suspect(now);
@@ -108,16 +108,16 @@
   this->Confirm(aUpstream);
 }
 
-void MemberProbe::Confirm(const UpstreamPtr& aUpstream) {
+void UpstreamProber::Confirm(const UpstreamPtr& aUpstream) {
   this->Question(aUpstream, this->settings.confirmTimeout,
-                 [this, aUpstream](LifeSign) { this->Close(aUpstream); });
+                 [this, aUpstream](Liveness) { this->Close(aUpstream); });
 }
 
-void MemberProbe::Close(const UpstreamPtr& aUpstream) {
+void UpstreamProber::Close(const UpstreamPtr& aUpstream) {
   this->records[aUpstream->Number()].isOpen = false;
 }
 
-void MemberProbe::Tick() {
+void UpstreamProber::Tick() {
   const Instant now = this->clock.Now();
   std::erase_if(this->records, [&](const auto& aRecord) {
     return !aRecord.second.isOpen &&
@@ -126,7 +126,8 @@
   std::vector<UpstreamPtr> slow;
   for (auto& [id, record] : this->records) {
     const bool isDue = now - record.askedAt >= this->settings.slowPause;
-    if (isDue && record.upstream && record.upstream->FoundPace(now) > 1 &&
+    if (isDue && record.upstream &&
+        record.upstream->ObservedSlowdown(now) > 1 &&
         record.upstream->MayCall(now)) {
       record.nextAt = now;
       slow.push_back(record.upstream);
--- a/Zincstep/Relay/MemberProbe.h
+++ b/Zincstep/Relay/UpstreamProber.h
@@ -4,12 +4,12 @@
 #include <string>
 #include <unordered_map>
 
-#include "Zincstep/Relay/LifeCheck.h"
+#include "Zincstep/Relay/LivenessCheck.h"
 
 namespace zincstep {
 
 /// Settings of probes.
-struct MemberProbeSettings {
+struct UpstreamProberSettings {
   /// An upstream that lives reports within two milliseconds, from another
   /// failure domain too; one that is dark says nothing.
   Micros timeout = 25ms;
@@ -29,9 +29,9 @@
   Micros slowPause = 1s;
   /// Probes of this daemon, a second; each is paid for, and costs processor
   /// time where the daemon itself may be what is slow.
-  double mostPerSecond = 12;
+  double maxPerSecond = 12;
   /// Probes that may be asked at once: the members of three chains.
-  double mostAtOnce = 40;
+  double maxBurst = 40;
 };
 
 /// Asks upstreams whether they live, and how quick they are.
@@ -39,14 +39,14 @@
 /// A stream that stands still tells that one of its members is lost, not
 /// which. The report of its first upstream tells, yet is some hundred
 /// milliseconds old; a dead member refuses the connection at once.
-class MemberProbe {
+class UpstreamProber {
  public:
   /// Called when an upstream comes under suspicion: found here, or told by
   /// another daemon and proved here.
-  using OnSuspicion = std::function<void(Evidence)>;
+  using OnSuspicion = std::function<void(Provenance)>;
 
-  MemberProbe(MemberProbeSettings aSettings, UpstreamControl& aControl,
-              const Clock& aClock, OnSuspicion aOnSuspicion);
+  UpstreamProber(UpstreamProberSettings aSettings, UpstreamControl& aControl,
+                 const Clock& aClock, OnSuspicion aOnSuspicion);
 
   /// Asks an upstream unless it was asked a moment ago. It comes under
   /// suspicion where it does not answer.
@@ -68,24 +68,24 @@
     Micros pause{0};
     bool isOpen = false;
     /// Who suspected it first.
-    Evidence evidence = Evidence::Found;
+    Provenance evidence = Provenance::Observed;
   };
 
-  bool TakeToken(Instant aNow);
+  bool TryAcquireToken(Instant aNow);
   void Start(Record& aRecord, const UpstreamPtr& aUpstream, Instant aNow);
   void Send(const UpstreamPtr& aUpstream, int aTriesLeft);
   /// Asks for a report, or only connects where the upstream takes no call now:
   /// then it may prove to be lost, and never to live.
   void Question(const UpstreamPtr& aUpstream, Micros aTimeout,
-                std::function<void(LifeSign)> aDone);
+                std::function<void(Liveness)> aDone);
   void OnAnswer(const UpstreamPtr& aUpstream, const UpstreamReport& aReport);
   void OnSilence(const UpstreamPtr& aUpstream);
   void Confirm(const UpstreamPtr& aUpstream);
   void Close(const UpstreamPtr& aUpstream);
 
-  MemberProbeSettings settings;
+  UpstreamProberSettings settings;
   const Clock& clock;
-  LifeCheck check;
+  LivenessCheck check;
   OnSuspicion onSuspicion;
   /// By the numbers of the upstreams.
   std::unordered_map<std::uint64_t, Record> records;
--- a/Zincstep/Routing/ChainPlanner.cpp
+++ b/Zincstep/Routing/ChainPlanner.cpp
@@ -48,13 +48,13 @@
   }
 }
 
-std::vector<double> ChainPlanner::Strengths(Instant aNow) const {
-  std::vector<double> strengths;
-  strengths.reserve(this->fleet.replicas.size());
+std::vector<double> ChainPlanner::UsableShares(Instant aNow) const {
+  std::vector<double> usableShares;
+  usableShares.reserve(this->fleet.replicas.size());
   for (std::size_t i = 0; i < this->fleet.replicas.size(); ++i) {
-    strengths.push_back(this->loads.Strength(static_cast<int>(i), aNow));
+    usableShares.push_back(this->loads.UsableShare(static_cast<int>(i), aNow));
   }
-  return strengths;
+  return usableShares;
 }
 
 void ChainPlanner::SetPlan(FlowPlan aPlan) {
@@ -76,7 +76,7 @@
       group < 0
           ? 0
           : this->plan.groups[static_cast<std::size_t>(group)].memberWindow;
-  const double strength = this->loads.Strength(aReplica, aNow);
+  const double strength = this->loads.UsableShare(aReplica, aNow);
   const double slots =
       this->fleet.replicas[static_cast<std::size_t>(aReplica)].slots;
   const double room = (window > 0 ? window : slots) * strength;
@@ -98,7 +98,7 @@
       continue;
     }
     const double share = (this->loads.DampedShare(member, aNow) + 1) /
-                         this->loads.Strength(member, aNow);
+                         this->loads.UsableShare(member, aNow);
     if (best.replica < 0 || share < leastShare) {
       best.replica = member;
       leastShare = share;
@@ -213,7 +213,8 @@
          this->settings.expectedTokens * this->StepSeconds(aChain) * use;
 }
 
-void ChainPlanner::PreferWarmChain(const ChoiceFacts& aFacts, Choice& aChoice) {
+void ChainPlanner::PreferWarmChain(const ChainChoiceInput& aFacts,
+                                   Choice& aChoice) {
   int matched = 0;
   const Chain* warm = this->prefixes.Find(aFacts.prefixHashes, matched);
   if (warm == nullptr || !this->IsRunnable(*warm, aFacts.now)) {
@@ -279,7 +280,7 @@
   return choice;
 }
 
-Result<Choice> ChainPlanner::Choose(const ChoiceFacts& aFacts,
+Result<Choice> ChainPlanner::Choose(const ChainChoiceInput& aFacts,
                                     Random& aRandom) {
   bool withinWindow = false;
   const int path = this->ChoosePath(aFacts.now, aRandom, withinWindow);
--- a/Zincstep/Routing/ChainPlanner.h
+++ b/Zincstep/Routing/ChainPlanner.h
@@ -12,7 +12,7 @@
 namespace zincstep {
 
 /// What is known of a request when its chain is chosen.
-struct ChoiceFacts {
+struct ChainChoiceInput {
   int promptTokens = 0;
   /// Block hashes of the prompt, salted by the organisation.
   std::vector<std::uint64_t> prefixHashes;
@@ -57,13 +57,13 @@
   const FlowPlan& Plan() const { return this->plan; }
 
   /// Usable share of each upstream's speed, the input of a flow plan.
-  std::vector<double> Strengths(Instant aNow) const;
+  std::vector<double> UsableShares(Instant aNow) const;
 
   /// Puts a new plan in force.
   void SetPlan(FlowPlan aPlan);
 
   /// Chooses a chain; fails with `NoCapacity` where no chain is whole.
-  Result<Choice> Choose(const ChoiceFacts& aFacts, Random& aRandom);
+  Result<Choice> Choose(const ChainChoiceInput& aFacts, Random& aRandom);
 
   /// Replaces the failed hops of a chain and keeps the others.
   ///
@@ -102,7 +102,7 @@
   bool IsRunnable(const Chain& aChain, Instant aNow) const;
   double ExpectedSeconds(const Chain& aChain, int aTokensToPrefill,
                          Instant aNow) const;
-  void PreferWarmChain(const ChoiceFacts& aFacts, Choice& aChoice);
+  void PreferWarmChain(const ChainChoiceInput& aFacts, Choice& aChoice);
   Result<Choice> ChooseBySearch(Instant aNow);
   void SetSearchCosts(Instant aNow, bool aWithSuspects);
   bool CoverByReplicas(LayerRange aRange, int aFromDomain,
--- a/Zincstep/Routing/LoadTable.cpp
+++ b/Zincstep/Routing/LoadTable.cpp
@@ -20,7 +20,7 @@
   row.own += 1;
   if (row.state == ReplicaState::Suspect) {
     // One trial at a time: the next one waits for this one's outcome.
-    row.trialAt += this->settings.longestTrialWait;
+    row.trialAt += this->settings.maxTrialBackoff;
   }
 }
 
@@ -57,8 +57,9 @@
     return;
   }
   const int doublings = std::min(row.failures, kMaxDoublings);
-  const Micros wait = std::min(this->settings.firstTrialWait * (1 << doublings),
-                               this->settings.longestTrialWait);
+  const Micros wait =
+      std::min(this->settings.initialTrialBackoff * (1 << doublings),
+               this->settings.maxTrialBackoff);
   row.state = ReplicaState::Suspect;
   row.failures += 1;
   row.trialAt = aNow + wait;
@@ -139,7 +140,7 @@
   return false;
 }
 
-double LoadTable::Strength(int aReplica, Instant aNow) const {
+double LoadTable::UsableShare(int aReplica, Instant aNow) const {
   const Row& row = this->At(aReplica);
   if (!this->IsUsable(aReplica, aNow)) {
     return 0;
--- a/Zincstep/Routing/LoadTable.h
+++ b/Zincstep/Routing/LoadTable.h
@@ -27,8 +27,8 @@
   /// After this time a report counts for nothing.
   Micros reportLife = 5s;
   /// First wait before a suspect gets a trial; doubles with each failure.
-  Micros firstTrialWait = 500ms;
-  Micros longestTrialWait = 30s;
+  Micros initialTrialBackoff = 500ms;
+  Micros maxTrialBackoff = 30s;
   /// Wait after a question for load that got no answer; longer than the
   /// time between two questions, so that callers' requests are no probes.
   Micros unreachableWait = 2500ms;
@@ -106,7 +106,7 @@
     return this->At(aReplica).state == ReplicaState::Suspect;
   }
   /// Share of the declared speed that plans may count on, from 0 to 1.
-  double Strength(int aReplica, Instant aNow) const;
+  double UsableShare(int aReplica, Instant aNow) const;
 
  private:
   struct Row {
--- a/Zincstep/Routing/ServiceBalancer.cpp
+++ b/Zincstep/Routing/ServiceBalancer.cpp
@@ -91,8 +91,9 @@
     return;
   }
   const int doublings = std::min(aRow.ejections, kMaxDoublings);
-  const Micros span = std::min(this->settings.firstEjection * (1 << doublings),
-                               this->settings.longestEjection);
+  const Micros span =
+      std::min(this->settings.initialEjection * (1 << doublings),
+               this->settings.maxEjection);
   aRow.ejectedUntil = aNow + span;
   aRow.ejections += 1;
   // One more failure after the ejection is enough for the next one.
--- a/Zincstep/Routing/ServiceBalancer.h
+++ b/Zincstep/Routing/ServiceBalancer.h
@@ -15,8 +15,8 @@
   Micros firstLatency = 5ms;
   /// Failures in a row that eject a replica.
   int failuresToEject = 3;
-  Micros firstEjection = 1s;
-  Micros longestEjection = 30s;
+  Micros initialEjection = 1s;
+  Micros maxEjection = 30s;
   /// Share of the replicas that may be ejected.
   double maxEjected = 0.5;
   /// A replica elsewhere counts as this much more latency.
--- a/Zincstep/Sequence/HopMonitor.cpp
+++ b/Zincstep/Sequence/HopMonitor.cpp
@@ -83,7 +83,7 @@
   const double limit =
       std::max(this->settings.gapFactor * this->interval,
                this->interval + kGapDeviations * this->deviation);
-  return std::max(this->settings.shortestGap,
+  return std::max(this->settings.minGap,
                   Micros{static_cast<std::int64_t>(limit)});
 }
 
--- a/Zincstep/Sequence/HopMonitor.h
+++ b/Zincstep/Sequence/HopMonitor.h
@@ -10,7 +10,7 @@
 /// Settings of the failure detector of one stream.
 struct HopMonitorSettings {
   /// A gap shorter than this is never taken for a failure.
-  Micros shortestGap = 200ms;
+  Micros minGap = 200ms;
   /// A probe of the stages goes out at this share of the limit.
   double probeShare = 0.5;
   /// Limit of a gap, as a multiple of the ordinary time between tokens.
--- a/Zincstep/Sequence/StepLedger.cpp
+++ b/Zincstep/Sequence/StepFilter.cpp
@@ -1,8 +1,8 @@
-#include "Zincstep/Sequence/StepLedger.h"
+#include "Zincstep/Sequence/StepFilter.h"
 
 namespace zincstep {
 
-bool StepLedger::CoversAllLayers(const TokenEvent& aEvent) const {
+bool StepFilter::CoversAllLayers(const TokenEvent& aEvent) const {
   int next = 0;
   for (const StageReport& stage : aEvent.stages) {
     if (stage.layers.first != next || stage.layers.Size() <= 0) {
@@ -13,7 +13,7 @@
   return next == this->layers;
 }
 
-StepVerdict StepLedger::VerdictOn(const TokenEvent& aEvent) const {
+StepVerdict StepFilter::VerdictOn(const TokenEvent& aEvent) const {
   if (aEvent.request != this->request) {
     return StepVerdict::Foreign;
   }
@@ -32,7 +32,7 @@
   return StepVerdict::Accepted;
 }
 
-StepVerdict StepLedger::Judge(const TokenEvent& aEvent) {
+StepVerdict StepFilter::Judge(const TokenEvent& aEvent) {
   const StepVerdict verdict = this->VerdictOn(aEvent);
   this->counts[static_cast<std::size_t>(verdict)] += 1;
   if (verdict == StepVerdict::Accepted) {
--- a/Zincstep/Sequence/StepLedger.h
+++ b/Zincstep/Sequence/StepFilter.h
@@ -39,10 +39,10 @@
 /// A step is named by (request, attempt, position, layer range). Attempts
 /// only rise and a position is accepted once, so that whatever comes late,
 /// twice, out of order or from another request changes nothing.
-class StepLedger {
+class StepFilter {
  public:
   /// Attempts are numbered from `aFirstAttempt` on.
-  StepLedger(std::uint64_t aRequest, int aLayers, int aFirstAttempt = 1)
+  StepFilter(std::uint64_t aRequest, int aLayers, int aFirstAttempt = 1)
       : request(aRequest), layers(aLayers), attempt(aFirstAttempt - 1) {}
 
   /// Opens a further attempt; events of all earlier ones are stale.
--- a/Zincstep/Sequence/StreamMachine.cpp
+++ b/Zincstep/Sequence/StreamMachine.cpp
@@ -149,7 +149,7 @@
   return actions;
 }
 
-StreamActions StreamMachine::OnCallerGone() {
+StreamActions StreamMachine::OnCallerDisconnected() {
   StreamActions actions;
   if (this->phase == Phase::Running || this->phase == Phase::WaitingForChain) {
     actions.push_back(AbandonAttempt{this->ledger.Attempt()});
@@ -215,7 +215,7 @@
     this->Leave(aFailed, aFailure, aNow, aActions);
   }
   if (this->Recoveries() + 1 >= this->settings.maxAttempts) {
-    this->GiveUp(ErrorKind::AnswerIncomplete,
+    this->GiveUp(ErrorKind::ResponseIncomplete,
                  "the answer was moved too often without coming to its end",
                  aActions);
     return;
@@ -234,8 +234,8 @@
     return;
   }
   this->tryAgainAt = aNow + this->settings.noChainPause;
-  if (aNow - this->lostSince >= this->settings.noChainPatience) {
-    this->GiveUp(ErrorKind::AnswerIncomplete, next.error().message, aActions);
+  if (aNow - this->lostSince >= this->settings.noChainTimeout) {
+    this->GiveUp(ErrorKind::ResponseIncomplete, next.error().message, aActions);
   }
 }
 
--- a/Zincstep/Sequence/StreamMachine.h
+++ b/Zincstep/Sequence/StreamMachine.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "Zincstep/Sequence/HopMonitor.h"
-#include "Zincstep/Sequence/StepLedger.h"
+#include "Zincstep/Sequence/StepFilter.h"
 
 namespace zincstep {
 
@@ -115,7 +115,7 @@
   /// Pause before a try where no chain was whole.
   Micros noChainPause = 200ms;
   /// Time without a whole chain after which the stream is given up.
-  Micros noChainPatience = 3s;
+  Micros noChainTimeout = 3s;
   std::optional<Instant> deadline;
 };
 
@@ -151,12 +151,12 @@
   /// Time has passed.
   StreamActions OnTime(Instant aNow);
   /// The caller has gone: the work ends on every stage.
-  StreamActions OnCallerGone();
+  StreamActions OnCallerDisconnected();
 
   bool IsOver() const { return this->phase == Phase::Over; }
   /// When `OnTime` is next of use.
   Instant NextTime(Instant aNow) const;
-  const StepLedger& Ledger() const { return this->ledger; }
+  const StepFilter& Ledger() const { return this->ledger; }
   const Chain& CurrentChain() const { return this->chain; }
   /// Tokens of the answer so far.
   const std::vector<std::int32_t>& Tokens() const { return this->tokens; }
@@ -184,7 +184,7 @@
 
   StreamSettings settings;
   ChainRepairer& repairer;
-  StepLedger ledger;
+  StepFilter ledger;
   HopMonitor monitor;
   Phase phase = Phase::Idle;
   Chain chain;
