--- a/EdgeDaemon/Main.cpp
+++ b/EdgeDaemon/Main.cpp
@@ -22,9 +22,9 @@
 
 }  // namespace
 
-int main(int aCount, char** aWords) {
+int main(int aArgumentCount, char** aArguments) {
   const zincstep::EdgeSettings settings =
-      zincstep::ReadEdgeSettings(aCount, aWords);
+      zincstep::ReadEdgeSettings(aArgumentCount, aArguments);
   if (!zincstep::StartLog("zincstep-edge", settings.logLevel)) {
     std::fprintf(stderr, "zincstep-edge: --log-level: no such level\n");
     return 2;
--- a/Zincstep/Edge/AdminHandler.cpp
+++ b/Zincstep/Edge/AdminHandler.cpp
@@ -13,7 +13,7 @@
     aConnection->Answer(200, {{"Content-Type", "text/plain; version=0.0.4"}},
                         this->metrics());
   } else {
-    aConnection->Answer(404, {}, "no such page");
+    aConnection->Answer(404, {}, "not found");
   }
 }
 
--- a/Zincstep/Edge/AdminHandler.h
+++ b/Zincstep/Edge/AdminHandler.h
@@ -7,7 +7,7 @@
 
 namespace zincstep {
 
-/// Answers questions about the daemon itself: readiness and metrics.
+/// Serves the admin endpoints of the daemon: readiness and metrics.
 class AdminHandler final : public CallerHandler {
  public:
   AdminHandler(std::function<bool()> aIsReady,
--- a/Zincstep/Edge/BlockList.cpp
+++ b/Zincstep/Edge/BlockList.cpp
@@ -8,14 +8,15 @@
 
 namespace {
 
-/// Pause after a write that failed: the daemons tell each other meanwhile.
-constexpr Micros kRetryPause = 1s;
-/// Requests that are listed at most, 20 kB: all daemons read the whole list
-/// with each change. The others are blocked until the daemons end.
-constexpr std::size_t kMostListed = 1000;
+/// Interval after a failed write. Meanwhile the daemons inform each other
+/// directly.
+constexpr Micros kRetryInterval = 1s;
+/// Maximum number of listed requests, 20 kB: all daemons read the full list
+/// with each change. Further requests stay blocked until the daemons stop.
+constexpr std::size_t kMaxListed = 1000;
 constexpr const char* kField = "blocked";
 
-std::string TextFor(const std::set<RequestFingerprint>& aRequests) {
+std::string EncodeList(const std::set<RequestFingerprint>& aRequests) {
   nlohmann::json texts = nlohmann::json::array();
   for (const RequestFingerprint request : aRequests) {
     texts.push_back(TextOf(request));
@@ -32,9 +33,9 @@
     return std::nullopt;
   }
   std::set<RequestFingerprint> requests;
-  for (const auto& one : json.at(kField)) {
-    const auto request = one.is_string()
-                             ? ParseFingerprint(one.get<std::string>())
+  for (const auto& element : json.at(kField)) {
+    const auto request = element.is_string()
+                             ? ParseFingerprint(element.get<std::string>())
                              : std::nullopt;
     if (!request) {
       return std::nullopt;
@@ -47,20 +48,20 @@
 }  // namespace
 
 BlockList::BlockList(std::string aPrefix, AsyncStore& aStore,
-                     CrashTracker& aLedger, const Clock& aClock)
+                     CrashTracker& aCrashes, const Clock& aClock)
     : prefix(std::move(aPrefix)),
       store(aStore),
-      ledger(aLedger),
+      crashes(aCrashes),
       clock(aClock) {}
 
 void BlockList::OnEntries(const StoreItems& aItems) {
   const auto found = aItems.find(kKey);
   if (found != aItems.end()) {
-    this->Take(found->second);
+    this->ApplyEntry(found->second);
   }
 }
 
-void BlockList::Take(const StoreItem& aItem) {
+void BlockList::ApplyEntry(const StoreItem& aItem) {
   if (aItem.revision <= this->revision) {
     return;
   }
@@ -74,15 +75,15 @@
   LogInfo("block_list_read", {{"revision", aItem.revision.number},
                               {"requests", requests->size()}});
   this->listed = *requests;
-  // What the copy lacks stays blocked, and is written again.
-  std::set<RequestFingerprint> blocked = std::move(this->listedBefore);
-  this->listedBefore.clear();
+  // Blocks that the backup lacks stay active and are written again.
+  std::set<RequestFingerprint> blocked = std::move(this->listedBeforeRestore);
+  this->listedBeforeRestore.clear();
   blocked.insert(requests->begin(), requests->end());
-  this->ledger.SetListed(blocked, this->clock.Now());
+  this->crashes.SetListed(blocked, this->clock.Now());
 }
 
 void BlockList::OnRestored() {
-  this->listedBefore.insert(this->listed.begin(), this->listed.end());
+  this->listedBeforeRestore.insert(this->listed.begin(), this->listed.end());
   this->listed.clear();
   this->revision = {};
   this->isWriting = false;
@@ -90,33 +91,33 @@
 
 void BlockList::Write() {
   const Instant now = this->clock.Now();
-  if (this->isWriting || now < this->nextTry) {
+  if (this->isWriting || now < this->nextAttempt) {
     return;
   }
-  std::set<RequestFingerprint> wanted = this->ledger.Blocked(now);
-  while (wanted.size() > kMostListed) {
-    wanted.erase(wanted.begin());
+  std::set<RequestFingerprint> blocked = this->crashes.Blocked(now);
+  while (blocked.size() > kMaxListed) {
+    blocked.erase(blocked.begin());
   }
-  if (wanted == this->listed) {
+  if (blocked == this->listed) {
     return;
   }
   this->isWriting = true;
-  this->nextTry = now + kRetryPause;
+  this->nextAttempt = now + kRetryInterval;
   StoreChange change;
   change.key = this->prefix + kKey;
   change.expected = this->revision;
-  change.value = TextFor(wanted);
-  this->store.Commit(change, [this, wanted](Result<StoreCommit> aDone) {
+  change.value = EncodeList(blocked);
+  this->store.Commit(change, [this, blocked](Result<StoreCommit> aResult) {
     this->isWriting = false;
-    if (aDone && aDone->done) {
-      this->revision = aDone->revision;
-      this->listed = wanted;
-      this->nextTry = {};
-      this->ledger.SetListed(wanted, this->clock.Now());
-      LogInfo("block_list_written", {{"revision", aDone->revision.number},
-                                     {"requests", wanted.size()}});
-    } else if (aDone && aDone->present) {
-      this->Take(*aDone->present);
+    if (aResult && aResult->done) {
+      this->revision = aResult->revision;
+      this->listed = blocked;
+      this->nextAttempt = {};
+      this->crashes.SetListed(blocked, this->clock.Now());
+      LogInfo("block_list_written", {{"revision", aResult->revision.number},
+                                     {"requests", blocked.size()}});
+    } else if (aResult && aResult->present) {
+      this->ApplyEntry(*aResult->present);
     }
   });
 }
--- a/Zincstep/Edge/BlockList.h
+++ b/Zincstep/Edge/BlockList.h
@@ -8,44 +8,43 @@
 
 namespace zincstep {
 
-/// Keeps the requests that must not run in the store, among the daemons' own
-/// entries, so that daemons that start know them, also after all have ended.
+/// Persists the blocked requests in the store, next to the daemons' own
+/// entries, so that they survive a restart of all daemons.
 ///
-/// One daemon writes, the one that places layers; all read it with the list of
-/// daemons. Without it, daemons that were all killed at once let the same
-/// request end three upstreams again.
+/// The placement leader writes the list; all daemons read it together with the
+/// list of daemons. Without it, daemons that were all killed at once let the
+/// same request crash three upstreams again.
 class BlockList {
  public:
-  /// Its key, without the prefix of the daemons' own entries.
+  /// Store key, without the prefix of the daemons' own entries.
   static constexpr const char* kKey = "blocked-requests";
 
-  BlockList(std::string aPrefix, AsyncStore& aStore, CrashTracker& aLedger,
+  BlockList(std::string aPrefix, AsyncStore& aStore, CrashTracker& aCrashes,
             const Clock& aClock);
 
-  /// Takes the daemons' own entries as they are in the store now.
+  /// Applies the daemons' own entries as currently stored.
   void OnEntries(const StoreItems& aItems);
-  /// The store has come back from a copy, which may lack some: what is known
-  /// here is written again.
+  /// Resets the revision after the store was restored from a backup, which may
+  /// lack recent blocks. Blocks that are known here are written again.
   void OnRestored();
-  /// Writes what has changed; to be called several times a second by whoever
-  /// has the duty to.
+  /// Writes the list if it has changed. Called several times per second by the
+  /// placement leader.
   void Write();
 
  private:
-  void Take(const StoreItem& aItem);
+  void ApplyEntry(const StoreItem& aItem);
 
   std::string prefix;
   AsyncStore& store;
-  CrashTracker& ledger;
+  CrashTracker& crashes;
   const Clock& clock;
-  /// The list as the store has it, and its revision; none: it was never
-  /// written.
+  /// The list as stored, and its revision; none if it was never written.
   std::set<RequestFingerprint> listed;
   StoreRevision revision;
-  /// What was listed before the store came back from a copy.
-  std::set<RequestFingerprint> listedBefore;
+  /// What was listed before the store was restored from a backup.
+  std::set<RequestFingerprint> listedBeforeRestore;
   bool isWriting = false;
-  Instant nextTry{};
+  Instant nextAttempt{};
 };
 
 }  // namespace zincstep
--- a/Zincstep/Edge/BufferedMemory.cpp
+++ b/Zincstep/Edge/BufferedMemory.cpp
@@ -6,38 +6,38 @@
 
 namespace {
 
-/// Between two log lines while the sum does not double.
-constexpr Micros kLinePause = 10s;
-/// Less than this is not told.
-constexpr std::size_t kFewestTold = 256 << 10;
+/// Interval between log lines while the sum does not double.
+constexpr Micros kLogInterval = 10s;
+/// Sums below this are not logged.
+constexpr std::size_t kMinLoggedSum = 256 << 10;
 
 }  // namespace
 
-void BufferedMemory::Report(const Bytes& aHeld) {
+void BufferedMemory::Report(const Bytes& aBytes) {
   for (const auto& [kind, name] : kBufferKindNames) {
     this->metrics.Set(
         "zincstep_held_bytes",
-        static_cast<double>(aHeld[static_cast<std::size_t>(kind)]),
+        static_cast<double>(aBytes[static_cast<std::size_t>(kind)]),
         {{"for", std::string(name)}});
   }
 }
 
-void BufferedMemory::Tick(const Bytes& aHeld) {
+void BufferedMemory::Tick(const Bytes& aBytes) {
   const std::size_t sum =
-      std::accumulate(aHeld.begin(), aHeld.end(), std::size_t{0});
+      std::accumulate(aBytes.begin(), aBytes.end(), std::size_t{0});
   const Instant now = this->clock.Now();
-  const bool hasDoubled = sum >= 2 * this->lastTold;
-  if (sum < kFewestTold || (now < this->nextLogAt && !hasDoubled)) {
+  const bool hasDoubled = sum >= 2 * this->lastLoggedSum;
+  if (sum < kMinLoggedSum || (now < this->nextLogAt && !hasDoubled)) {
     return;
   }
-  this->nextLogAt = now + kLinePause;
-  this->lastTold = sum;
-  this->Log(aHeld, sum);
+  this->nextLogAt = now + kLogInterval;
+  this->lastLoggedSum = sum;
+  this->Log(aBytes, sum);
 }
 
-void BufferedMemory::Log(const Bytes& aHeld, std::size_t aSum) {
-  const auto kind = [&aHeld](BufferKind aKind) {
-    return aHeld[static_cast<std::size_t>(aKind)];
+void BufferedMemory::Log(const Bytes& aBytes, std::size_t aSum) {
+  const auto kind = [&aBytes](BufferKind aKind) {
+    return aBytes[static_cast<std::size_t>(aKind)];
   };
   LogInfo("held_bytes", {{"to_peers", kind(BufferKind::ToPeers)},
                          {"from_peers", kind(BufferKind::FromPeers)},
--- a/Zincstep/Edge/BufferedMemory.h
+++ b/Zincstep/Edge/BufferedMemory.h
@@ -7,16 +7,15 @@
 
 namespace zincstep {
 
-/// What a daemon holds memory for.
+/// Purposes for which a daemon buffers bytes.
 enum class BufferKind {
-  /// Messages that wait for a peer to take them; what several are sent counts
-  /// once.
+  /// Messages queued for peers; a message to several peers counts once.
   ToPeers,
-  /// Messages of peers that have come and are not read yet.
+  /// Messages of peers that are received but not parsed yet.
   FromPeers,
-  /// Lists that are kept packed.
+  /// Compressed lists and configurations that are cached.
   PackedLists,
-  /// Bytes of answers that callers have not taken yet.
+  /// Response bytes that callers have not read yet.
   ToCallers,
 };
 
@@ -27,10 +26,10 @@
     {BufferKind::ToCallers, "to_callers"},
 }};
 
-/// Tells how many bytes are held for what.
+/// Logs and exports how many bytes are buffered for which purpose.
 ///
-/// A process that outgrows its VM is ended with all its requests: what grows
-/// has to be seen before that.
+/// A process that outgrows its VM is killed with all its requests, so growth
+/// has to be visible before that.
 class BufferedMemory {
  public:
   using Bytes = std::array<std::size_t, kBufferKindNames.size()>;
@@ -38,18 +37,18 @@
   BufferedMemory(Metrics& aMetrics, const Clock& aClock)
       : metrics(aMetrics), clock(aClock) {}
 
-  /// Logs where it is time, or the sum has doubled since the last line; to be
-  /// called several times a second.
-  void Tick(const Bytes& aHeld);
-  /// Sets the gauges.
-  void Report(const Bytes& aHeld);
+  /// Logs the bytes periodically, and at once if the sum has doubled since the
+  /// last log line. Called several times per second.
+  void Tick(const Bytes& aBytes);
+  /// Updates the gauges.
+  void Report(const Bytes& aBytes);
 
  private:
-  void Log(const Bytes& aHeld, std::size_t aSum);
+  void Log(const Bytes& aBytes, std::size_t aSum);
 
   Metrics& metrics;
   const Clock& clock;
-  std::size_t lastTold = 0;
+  std::size_t lastLoggedSum = 0;
   Instant nextLogAt{};
 };
 
--- a/Zincstep/Edge/DaemonEntry.cpp
+++ b/Zincstep/Edge/DaemonEntry.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// What the keys of such entries begin with.
+/// Key prefix of daemons' entries.
 constexpr const char* kPrefix = "members/";
 constexpr const char* kAddressField = "peer";
 constexpr const char* kDomainField = "failure_domain";
@@ -29,14 +29,14 @@
       .dump();
 }
 
-std::string DaemonEntry::NameIn(const std::string& aKey) {
+std::string DaemonEntry::NameOf(const std::string& aKey) {
   return aKey.starts_with(kPrefix) ? aKey.substr(aKey.rfind('/') + 1)
                                    : std::string();
 }
 
-std::optional<PeerName> DaemonEntry::Read(const std::string& aKey,
-                                          const std::string& aText) {
-  const std::string name = NameIn(aKey);
+std::optional<PeerName> DaemonEntry::Parse(const std::string& aKey,
+                                           const std::string& aText) {
+  const std::string name = NameOf(aKey);
   const auto json = nlohmann::json::parse(aText, nullptr, false);
   const auto isText = [&json](const char* aField) {
     return json.is_object() && json.contains(aField) &&
--- a/Zincstep/Edge/DaemonEntry.h
+++ b/Zincstep/Edge/DaemonEntry.h
@@ -7,18 +7,20 @@
 
 namespace zincstep {
 
-/// The entry by which a daemon is found: its key behind the daemons' own prefix
-/// of the store, and its text.
+/// Encodes and parses the store entry by which daemons discover each other.
+/// Keys are relative to the prefix of the daemons' own entries.
 class DaemonEntry {
  public:
-  /// Reads an entry; none where it is no such entry, or does not parse.
-  static std::optional<PeerName> Read(const std::string& aKey,
-                                      const std::string& aText);
-  /// The daemon that a key is of; empty where it is no such entry's.
-  static std::string NameIn(const std::string& aKey);
+  /// Parses an entry; returns none if the key is not that of a daemon or the
+  /// text is malformed.
+  static std::optional<PeerName> Parse(const std::string& aKey,
+                                       const std::string& aText);
+  /// Returns the daemon's name from a key; empty if the key is not that of a
+  /// daemon.
+  static std::string NameOf(const std::string& aKey);
   static std::string KeyOf(const PeerName& aDaemon);
   static std::string TextOf(const PeerName& aDaemon);
-  /// What the keys of a failure domain's daemons begin with.
+  /// Returns the key prefix of the daemons of a failure domain.
   static std::string PrefixOf(const std::string& aFailureDomain);
 };
 
--- a/Zincstep/Edge/DaemonRegistrar.cpp
+++ b/Zincstep/Edge/DaemonRegistrar.cpp
@@ -9,37 +9,39 @@
 
 namespace {
 
-/// Life of entries without renewal. Peers find out by themselves within two
-/// seconds that a daemon does not answer, so that a dead one's entry may stay
-/// for a while: it costs a message that is lost now and then.
-constexpr Micros kEntryLife = 120s;
-/// Share of the life after which it is renewed: two more tries fit into the
-/// rest. Renewed after 4 s, the entries of 295 daemons were 74 of the 79 calls
-/// that the store got in a second of rest (count of a calm day).
-constexpr double kRenewedAfter = 0.33;
-/// Part of a time by which daemons differ, so that those that started together
-/// do not all act in one second.
-constexpr double kSpread = 0.3;
-/// Pause before a call is tried again; it doubles up to the longest, as a store
-/// that turns many away is not to be asked by all of them each second.
-constexpr Micros kFirstRetry = 1s;
-constexpr Micros kLongestRetry = 8s;
-/// Time in which all daemons write their entries again after the store came
-/// back from a copy: hundreds that wrote at once would find it full.
-constexpr Micros kRewriteSpread = 1s;
-/// Time in which daemons that start together have asked: their entries go into
-/// few calls.
-constexpr Micros kGatherTime = 150ms;
-/// A daemon whose entry is missing leaves it for so long to the one that leads
-/// its domain: that one hears of it, writes it, and tells the change.
-constexpr Micros kOwnPatience = 6s;
-/// An entry that another daemon wrote lives on for a while after that one has
-/// ended: it is written under the own lease after this time, well before.
-constexpr Micros kTakeOverPause = 10s;
-/// An entry is removed when its daemon has not asked for so long.
-constexpr Micros kSilentLife = 120s;
-/// Entries that one call of the store may write.
-constexpr std::size_t kMostAtOnce = 32;
+/// Lease duration. Peers detect within two seconds that a daemon does not
+/// respond, so the entry of a dead daemon costs only a lost message now and
+/// then.
+constexpr Micros kEntryTtl = 120s;
+/// Share of the TTL after which the lease is renewed, so that two retries fit
+/// into the rest. With a renewal every 4 s, the entries of 295 daemons caused
+/// 74 of the 79 calls per second that an idle store received.
+constexpr double kRenewalShare = 0.33;
+/// Maximum share by which delays are shortened per daemon, so that daemons that
+/// start together do not all act in the same second.
+constexpr double kJitter = 0.3;
+/// Backoff of failed calls. It doubles up to the maximum, so that an overloaded
+/// store is not called by all daemons every second.
+constexpr Micros kInitialBackoff = 1s;
+constexpr Micros kMaxBackoff = 8s;
+/// Time over which daemons spread the rewrite of their entries after the store
+/// was restored from a backup: hundreds of simultaneous writes would overload
+/// it.
+constexpr Micros kRewritePeriod = 1s;
+/// Time for the queries of daemons that start together to arrive, so that their
+/// entries are written in few calls.
+constexpr Micros kBatchDelay = 150ms;
+/// Time that a daemon with a missing entry leaves to the leader of its domain,
+/// which receives the daemon's queries, writes the entry and sends the change.
+constexpr Micros kSelfRegisterDelay = 6s;
+/// Delay before an entry that another daemon wrote is rewritten under this
+/// daemon's lease. An entry outlives its writer by up to the TTL, so this is
+/// early enough.
+constexpr Micros kTakeOverDelay = 10s;
+/// Time without queries after which a daemon's entry is removed.
+constexpr Micros kIdleEntryTtl = 120s;
+/// Maximum number of entries that one call of the store may write.
+constexpr std::size_t kMaxBatchSize = 32;
 
 }  // namespace
 
@@ -48,82 +50,85 @@
     : settings(aSettings),
       store(aStore),
       clock(aClock),
-      own{aSettings.name, aSettings.peerListen, aSettings.failureDomain,
-          aSettings.linkMbps},
-      ownKey(DaemonEntry::KeyOf(this->own)),
-      retryPause(kFirstRetry),
+      self{aSettings.name, aSettings.peerListen, aSettings.failureDomain,
+           aSettings.linkMbps},
+      ownKey(DaemonEntry::KeyOf(this->self)),
+      retryBackoff(kInitialBackoff),
       missingSince(aClock.Now()) {
   Random random{Hash64(aSettings.name)};
-  const double factor = 1 - kSpread * random.Unit();
-  const auto spread = [factor](Micros aSpan) {
-    return FromSeconds(ToSeconds(aSpan) * factor);
+  const double factor = 1 - kJitter * random.Unit();
+  const auto jittered = [factor](Micros aDelay) {
+    return FromSeconds(ToSeconds(aDelay) * factor);
   };
-  this->keepPause = spread(FromSeconds(ToSeconds(kEntryLife) * kRenewedAfter));
-  this->ownPatience = spread(kOwnPatience);
-  this->takeOverPause = spread(kTakeOverPause);
+  this->renewInterval =
+      jittered(FromSeconds(ToSeconds(kEntryTtl) * kRenewalShare));
+  this->selfRegisterDelay = jittered(kSelfRegisterDelay);
+  this->takeOverDelay = jittered(kTakeOverDelay);
 }
 
 void DaemonRegistrar::Add(const PeerName& aDaemon, Instant aNow) {
   const std::string key = DaemonEntry::KeyOf(aDaemon);
   std::string text = DaemonEntry::TextOf(aDaemon);
-  Kept& entry = this->kept[key];
+  Entry& entry = this->entries[key];
   entry.lastSeenAt = aNow;
   if (entry.text == text) {
     return;
   }
-  entry.since = aNow;
+  entry.dueSince = aNow;
   entry.text = std::move(text);
   entry.writtenAt = {};
   entry.seenAt = {};
 }
 
-bool DaemonRegistrar::IsThere(const std::string& aKey,
-                              const std::string& aText) const {
-  if (this->listed == nullptr) {
+bool DaemonRegistrar::IsStored(const std::string& aKey,
+                               const std::string& aText) const {
+  if (this->stored == nullptr) {
     return false;
   }
-  const auto found = this->listed->find(aKey);
-  return found != this->listed->end() && found->second.value == aText;
+  const auto found = this->stored->find(aKey);
+  return found != this->stored->end() && found->second.value == aText;
 }
 
 void DaemonRegistrar::OnQueryFrom(const PeerName& aRequester) {
-  if (this->leads && aRequester.failureDomain == this->settings.failureDomain) {
+  if (this->isLeader &&
+      aRequester.failureDomain == this->settings.failureDomain) {
     this->Add(aRequester, this->clock.Now());
   }
 }
 
-bool DaemonRegistrar::IsOverdue(Instant aNow) const {
-  return !this->isListed && aNow - this->missingSince >= this->ownPatience;
+bool DaemonRegistrar::MustRegisterItself(Instant aNow) const {
+  return !this->isListed &&
+         aNow - this->missingSince >= this->selfRegisterDelay;
 }
 
-void DaemonRegistrar::LeaveToOthers() {
-  std::erase_if(this->kept, [this](const auto& aEntry) {
-    const Kept& entry = aEntry.second;
-    // Whoever leads has written it anew.
-    const bool isTaken =
+void DaemonRegistrar::DropTakenOver() {
+  std::erase_if(this->entries, [this](const auto& aEntry) {
+    const Entry& entry = aEntry.second;
+    // The leader has written the entry after this daemon did.
+    const bool isTakenOver =
         !entry.writtenAt.IsNone() && entry.writtenAt < entry.seenAt;
-    return aEntry.first != this->ownKey || isTaken;
+    return aEntry.first != this->ownKey || isTakenOver;
   });
-  if (this->kept.empty()) {
+  if (this->entries.empty()) {
     this->lease = 0;
   }
 }
 
-void DaemonRegistrar::Keep(bool aLeads) {
+void DaemonRegistrar::Tick(bool aIsLeader) {
   const Instant now = this->clock.Now();
-  if (this->hasEnded || this->isWriting) {
+  if (this->isDeregistered || this->isWriting) {
     return;
   }
-  this->leads = aLeads;
-  if (aLeads || this->IsOverdue(now)) {
-    this->Add(this->own, now);
+  this->isLeader = aIsLeader;
+  if (aIsLeader || this->MustRegisterItself(now)) {
+    this->Add(this->self, now);
   }
-  if (aLeads) {
-    this->RemoveSilent(now);
+  if (aIsLeader) {
+    this->RemoveExpired(now);
   } else {
-    this->LeaveToOthers();
+    this->DropTakenOver();
   }
-  if (now < this->nextTry || this->isWriting) {
+  if (now < this->nextAttempt || this->isWriting) {
     return;
   }
   const std::vector<std::string> due = this->CollectDue(now);
@@ -134,20 +139,20 @@
   }
 }
 
-bool DaemonRegistrar::IsDue(const std::string& aKey, const Kept& aEntry,
+bool DaemonRegistrar::IsDue(const std::string& aKey, const Entry& aEntry,
                             Instant aNow) const {
-  const Micros pause =
-      this->IsThere(aKey, aEntry.text) ? this->takeOverPause : kGatherTime;
-  return aEntry.writtenAt.IsNone() && aNow >= aEntry.since + pause;
+  const Micros delay =
+      this->IsStored(aKey, aEntry.text) ? this->takeOverDelay : kBatchDelay;
+  return aEntry.writtenAt.IsNone() && aNow >= aEntry.dueSince + delay;
 }
 
 std::vector<std::string> DaemonRegistrar::CollectDue(Instant aNow) const {
   std::vector<std::string> due;
-  if (this->leads && this->listed == nullptr) {
-    return due;  // It is not known yet what stands in the store.
+  if (this->isLeader && this->stored == nullptr) {
+    return due;  // The stored entries are unknown as yet.
   }
-  for (const auto& [key, entry] : this->kept) {
-    if (due.size() < kMostAtOnce && this->IsDue(key, entry, aNow)) {
+  for (const auto& [key, entry] : this->entries) {
+    if (due.size() < kMaxBatchSize && this->IsDue(key, entry, aNow)) {
       due.push_back(key);
     }
   }
@@ -156,14 +161,14 @@
 
 void DaemonRegistrar::Grant() {
   this->isWriting = true;
-  this->store.Grant(kEntryLife, [this](Result<std::uint64_t> aLease) {
+  this->store.Grant(kEntryTtl, [this](Result<std::uint64_t> aLease) {
     this->isWriting = false;
     if (!aLease) {
-      this->RetryLater();
+      this->ScheduleRetry();
       return;
     }
     this->lease = *aLease;
-    this->nextRenewal = this->clock.Now() + this->keepPause;
+    this->nextRenewal = this->clock.Now() + this->renewInterval;
     const std::vector<std::string> due = this->CollectDue(this->clock.Now());
     if (!due.empty()) {
       this->Write(due);
@@ -173,11 +178,11 @@
 
 void DaemonRegistrar::Renew() {
   this->isWriting = true;
-  this->nextRenewal = this->clock.Now() + this->keepPause;
+  this->nextRenewal = this->clock.Now() + this->renewInterval;
   this->store.Renew(this->lease, [this](Result<bool> aRenewed) {
     this->isWriting = false;
     if (!aRenewed && aRenewed.error().kind == ErrorKind::LeaseLost) {
-      this->BeginAnew(this->clock.Now());
+      this->RewriteAll(this->clock.Now());
     }
   });
 }
@@ -188,82 +193,83 @@
   writes.lease = this->lease;
   std::map<std::string, std::string> texts;
   for (const std::string& key : aKeys) {
-    const std::string& text = texts[key] = this->kept.at(key).text;
-    writes.puts.push_back({this->FullKey(key), text});
+    const std::string& text = texts[key] = this->entries.at(key).text;
+    writes.puts.push_back({this->StoreKey(key), text});
   }
   this->store.WriteAll(std::move(writes), [this, texts = std::move(texts)](
-                                              Result<StoreRevision> aDone) {
+                                              Result<StoreRevision> aResult) {
     this->isWriting = false;
-    if (!aDone) {
-      aDone.error().kind == ErrorKind::LeaseLost
-          ? this->BeginAnew(this->clock.Now())
-          : this->RetryLater();
+    if (!aResult) {
+      aResult.error().kind == ErrorKind::LeaseLost
+          ? this->RewriteAll(this->clock.Now())
+          : this->ScheduleRetry();
       return;
     }
-    this->retryPause = kFirstRetry;
+    this->retryBackoff = kInitialBackoff;
     for (const auto& [key, text] : texts) {
-      const auto entry = this->kept.find(key);
-      if (entry != this->kept.end() && entry->second.text == text) {
-        entry->second.writtenAt = *aDone;
+      const auto entry = this->entries.find(key);
+      if (entry != this->entries.end() && entry->second.text == text) {
+        entry->second.writtenAt = *aResult;
       }
     }
     LogInfo("daemon_entries_written",
-            {{"entries", texts.size()}, {"revision", aDone->number}});
+            {{"entries", texts.size()}, {"revision", aResult->number}});
   });
 }
 
-void DaemonRegistrar::RetryLater() {
-  this->nextTry = this->clock.Now() + this->retryPause;
-  this->retryPause = std::min(2 * this->retryPause, kLongestRetry);
+void DaemonRegistrar::ScheduleRetry() {
+  this->nextAttempt = this->clock.Now() + this->retryBackoff;
+  this->retryBackoff = std::min(2 * this->retryBackoff, kMaxBackoff);
 }
 
-void DaemonRegistrar::BeginAnew(Instant aSince) {
+void DaemonRegistrar::RewriteAll(Instant aDueSince) {
   this->lease = 0;
-  for (auto& [key, entry] : this->kept) {
+  for (auto& [key, entry] : this->entries) {
     entry.writtenAt = {};
     entry.seenAt = {};
-    entry.since = aSince;
+    entry.dueSince = aDueSince;
   }
 }
 
-void DaemonRegistrar::RemoveSilent(Instant aNow) {
+void DaemonRegistrar::RemoveExpired(Instant aNow) {
   StoreWrites writes;
-  for (const auto& [key, entry] : this->kept) {
-    const bool isSilent = aNow - entry.lastSeenAt >= kSilentLife;
-    if (isSilent && writes.removed.size() < kMostAtOnce) {
-      writes.removed.push_back(this->FullKey(key));
+  for (const auto& [key, entry] : this->entries) {
+    const bool isExpired = aNow - entry.lastSeenAt >= kIdleEntryTtl;
+    if (isExpired && writes.removed.size() < kMaxBatchSize) {
+      writes.removed.push_back(this->StoreKey(key));
     }
   }
-  if (writes.removed.empty() || aNow < this->nextTry) {
+  if (writes.removed.empty() || aNow < this->nextAttempt) {
     return;
   }
-  std::erase_if(this->kept, [aNow](const auto& aEntry) {
-    return aNow - aEntry.second.lastSeenAt >= kSilentLife;
+  std::erase_if(this->entries, [aNow](const auto& aEntry) {
+    return aNow - aEntry.second.lastSeenAt >= kIdleEntryTtl;
   });
   this->isWriting = true;
   const std::size_t count = writes.removed.size();
   this->store.WriteAll(
-      std::move(writes), [this, count](const Result<StoreRevision>& aDone) {
+      std::move(writes), [this, count](const Result<StoreRevision>& aResult) {
         this->isWriting = false;
         LogInfo("daemon_entries_removed",
-                {{"entries", count}, {"done", aDone.has_value()}});
+                {{"entries", count}, {"done", aResult.has_value()}});
       });
 }
 
 void DaemonRegistrar::OnEntries(const StoreItems& aItems) {
   const Instant now = this->clock.Now();
-  this->listed = &aItems;
+  this->stored = &aItems;
   const bool wasListed = this->isListed;
-  this->isListed = this->IsThere(this->ownKey, DaemonEntry::TextOf(this->own));
+  this->isListed =
+      this->IsStored(this->ownKey, DaemonEntry::TextOf(this->self));
   if (wasListed && !this->isListed) {
     this->missingSince = now;
     LogInfo("own_entry_lost", {{"lease", this->lease}});
   }
-  // One that has gone is written again where its daemon goes on to ask.
-  std::erase_if(this->kept, [&aItems](const auto& aEntry) {
+  // Removed entries are written again once their daemons query this one.
+  std::erase_if(this->entries, [&aItems](const auto& aEntry) {
     return !aEntry.second.seenAt.IsNone() && !aItems.contains(aEntry.first);
   });
-  for (auto& [key, entry] : this->kept) {
+  for (auto& [key, entry] : this->entries) {
     const auto found = aItems.find(key);
     if (found == aItems.end()) {
       continue;
@@ -272,32 +278,32 @@
     if (found->second.value != entry.text && !entry.writtenAt.IsNone() &&
         entry.seenAt > entry.writtenAt) {
       entry.writtenAt = {};
-      entry.since = now + this->takeOverPause;
+      entry.dueSince = now + this->takeOverDelay;
     }
   }
 }
 
 void DaemonRegistrar::OnRestored(Random& aRandom) {
-  // What is under way is answered as void, and tried again later.
-  const Micros spread = FromSeconds(ToSeconds(kRewriteSpread) * aRandom.Unit());
-  this->retryPause = kFirstRetry;
-  this->nextTry = {};
-  this->BeginAnew(this->clock.Now() + spread);
+  // Calls in flight complete with an error and are retried later.
+  const Micros delay = FromSeconds(ToSeconds(kRewritePeriod) * aRandom.Unit());
+  this->retryBackoff = kInitialBackoff;
+  this->nextAttempt = {};
+  this->RewriteAll(this->clock.Now() + delay);
 }
 
-void DaemonRegistrar::End() {
-  if (this->hasEnded) {
+void DaemonRegistrar::Deregister() {
+  if (this->isDeregistered) {
     return;
   }
-  this->hasEnded = true;
-  if (!this->isListed && !this->kept.contains(this->ownKey)) {
+  this->isDeregistered = true;
+  if (!this->isListed && !this->entries.contains(this->ownKey)) {
     return;
   }
   StoreWrites writes;
-  writes.removed.push_back(this->FullKey(this->ownKey));
+  writes.removed.push_back(this->StoreKey(this->ownKey));
   this->store.WriteAll(
-      std::move(writes), [](const Result<StoreRevision>& aDone) {
-        LogInfo("own_entry_taken_back", {{"told", aDone.has_value()}});
+      std::move(writes), [](const Result<StoreRevision>& aResult) {
+        LogInfo("own_entry_taken_back", {{"told", aResult.has_value()}});
       });
 }
 
--- a/Zincstep/Edge/DaemonRegistrar.h
+++ b/Zincstep/Edge/DaemonRegistrar.h
@@ -10,97 +10,97 @@
 
 namespace zincstep {
 
-/// Keeps entries of daemons in the store, by which they find each other.
+/// Registers daemons in the store, where they discover each other.
 ///
-/// The daemon that asks the store for its failure domain keeps the entries of
-/// all daemons that ask it, up to 32 with one call and all under one lease: the
-/// start of a thousand daemons is some tens of calls. The others leave theirs
-/// to it, and write it by themselves only where nobody has for a while.
+/// The daemon that reads the store for its failure domain registers all daemons
+/// that query it, up to 32 per call and all under one lease, so the start of a
+/// thousand daemons takes some tens of calls. The other daemons rely on it, and
+/// register themselves only if their entry stays missing for a while.
 class DaemonRegistrar {
  public:
   DaemonRegistrar(const EdgeSettings& aSettings, AsyncStore& aStore,
                   const Clock& aClock);
 
-  /// Writes what is due, or renews the lease; to be called several times a
-  /// second. `aLeads`: this daemon asks the store for its failure domain.
-  void Keep(bool aLeads);
-  /// A daemon of this failure domain lives, and asks this one.
+  /// Writes due entries or renews the lease. Called several times per second.
+  /// `aIsLeader`: this daemon reads the store for its failure domain.
+  void Tick(bool aIsLeader);
+  /// Records that a daemon is alive because it has queried this one. The leader
+  /// registers it if it is of the same failure domain.
   void OnQueryFrom(const PeerName& aRequester);
-  /// The daemons' entries have changed in the store; the items stay where they
-  /// are.
+  /// Applies the daemons' entries as currently stored. Keeps a reference to
+  /// `aItems`, which must outlive this object.
   void OnEntries(const StoreItems& aItems);
-  /// The store has come back from a copy: the lease may be gone with what was
-  /// written since, so that all is written again within a second.
+  /// Schedules all entries to be written again within a second, after the store
+  /// was restored from a backup: the lease and recent writes may be lost.
   void OnRestored(Random& aRandom);
-  /// Whether this daemon's entry was among those that the store had last.
+  /// Returns whether this daemon's entry was in the last list of the store.
   bool IsListed() const { return this->isListed; }
-  /// Whether this daemon is to have an entry: it does not end.
-  bool WantsEntry() const { return !this->hasEnded; }
-  /// Takes this daemon's entry back, as it stops: the others are to choose
-  /// another teller at once.
-  void End();
+  /// Returns whether this daemon needs an entry, which is until it stops.
+  bool NeedsEntry() const { return !this->isDeregistered; }
+  /// Removes this daemon's entry on shutdown, so that the others select another
+  /// sync source at once.
+  void Deregister();
 
  private:
-  struct Kept {
+  struct Entry {
     std::string text;
-    /// The store's revision with it as written here; none: it is due.
+    /// Revision of the write made here; none if the entry is due.
     StoreRevision writtenAt;
-    /// Its revision on the list of daemons; none: it is not there yet.
+    /// Revision in the list of daemons; none if it is not listed yet.
     StoreRevision seenAt;
-    /// Since when it is to be written.
-    Instant since{};
-    /// When its daemon last asked.
+    /// When the entry is due, before the batch or take-over delay.
+    Instant dueSince{};
+    /// When the daemon last queried this one.
     Instant lastSeenAt{};
   };
 
-  /// The keys with the daemons' own prefix before them.
-  std::string FullKey(const std::string& aKey) const {
+  /// Adds the prefix of the daemons' own entries to a key.
+  std::string StoreKey(const std::string& aKey) const {
     return this->settings.storePrefix + aKey;
   }
   void Add(const PeerName& aDaemon, Instant aNow);
-  /// Whether the list has that entry with that text.
-  bool IsThere(const std::string& aKey, const std::string& aText) const;
-  /// Whether the own entry is written by this daemon, who does not lead.
-  bool IsOverdue(Instant aNow) const;
-  /// Forgets what another daemon keeps now.
-  void LeaveToOthers();
-  bool IsDue(const std::string& aKey, const Kept& aEntry, Instant aNow) const;
-  /// Keys that one call is to write now.
+  /// Whether the store has this text under this key.
+  bool IsStored(const std::string& aKey, const std::string& aText) const;
+  /// Whether this daemon, which does not lead, must register itself.
+  bool MustRegisterItself(Instant aNow) const;
+  /// Drops entries that another daemon maintains now.
+  void DropTakenOver();
+  bool IsDue(const std::string& aKey, const Entry& aEntry, Instant aNow) const;
+  /// Returns the keys to write with the next call.
   std::vector<std::string> CollectDue(Instant aNow) const;
-  void RemoveSilent(Instant aNow);
+  void RemoveExpired(Instant aNow);
   void Grant();
   void Renew();
   void Write(const std::vector<std::string>& aKeys);
-  void RetryLater();
-  /// All is written anew, under a new lease.
-  void BeginAnew(Instant aSince);
+  void ScheduleRetry();
+  /// Marks all entries as due, to be written under a new lease.
+  void RewriteAll(Instant aDueSince);
 
   const EdgeSettings& settings;
   AsyncStore& store;
   const Clock& clock;
-  PeerName own;
+  PeerName self;
   std::string ownKey;
-  /// This daemon's own times, apart from those of others: between renewals,
-  /// until it writes its entry by itself, until it takes over what another has
-  /// written.
-  Micros keepPause;
-  Micros ownPatience;
-  Micros takeOverPause;
-  Micros retryPause;
+  /// Jittered per daemon: the time between renewals, the time before a daemon
+  /// registers itself, and the time before an entry that another daemon has
+  /// written is taken over.
+  Micros renewInterval;
+  Micros selfRegisterDelay;
+  Micros takeOverDelay;
+  Micros retryBackoff;
   std::uint64_t lease = 0;
-  /// By key.
-  std::map<std::string, Kept> kept;
-  /// The daemons' entries as they are in the store, by key; null before the
-  /// first.
-  const StoreItems* listed = nullptr;
-  /// Since when the own entry is missing.
+  /// Maintained entries by key.
+  std::map<std::string, Entry> entries;
+  /// The daemons' entries as stored, by key; null before the first list.
+  const StoreItems* stored = nullptr;
+  /// Since when this daemon's entry has been missing.
   Instant missingSince;
   Instant nextRenewal{};
-  Instant nextTry{};
-  bool leads = false;
+  Instant nextAttempt{};
+  bool isLeader = false;
   bool isWriting = false;
   bool isListed = false;
-  bool hasEnded = false;
+  bool isDeregistered = false;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Edge/Edge.h
+++ b/Zincstep/Edge/Edge.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// \file
-/// Public header of the edge library: the daemon that stands between
-/// callers and upstreams on a platform with a store of its own.
+/// Public header of the edge library: the daemon that proxies between callers
+/// and upstreams on a platform with its own store.
 
 #include "Zincstep/Edge/EdgeAdapters.h"
 #include "Zincstep/Edge/EdgeDaemon.h"
--- a/Zincstep/Edge/EdgeAdapters.h
+++ b/Zincstep/Edge/EdgeAdapters.h
@@ -7,7 +7,7 @@
 
 namespace zincstep {
 
-/// What an edge daemon needs of the platform that it runs on.
+/// Platform-specific components that an edge daemon depends on.
 struct EdgeAdapters {
   std::unique_ptr<RelayDialect> dialect;
   std::unique_ptr<ClusterDecoder> decoder;
--- a/Zincstep/Edge/EdgeDaemon.cpp
+++ b/Zincstep/Edge/EdgeDaemon.cpp
@@ -14,29 +14,31 @@
 
 namespace {
 
-/// Between looks at limits of time while requests run: a third of the
-/// shortest of these limits, at 40 wake-ups a second.
+/// Interval between checks of time limits while requests run: a third of the
+/// shortest limit, at 40 wake-ups per second.
 constexpr Micros kBusyTick = 25ms;
-/// The same while none runs.
+/// Interval between checks of time limits while no request runs.
 constexpr Micros kIdleTick = 100ms;
-/// A look that comes so much too late is told of: this VM was suspended, or has
-/// not run. Whatever has passed its time meanwhile ends in that look.
-constexpr Micros kToldGap = 1s;
-/// Between acts of the placement duty.
-constexpr Micros kDutyTick = 250ms;
-/// Margin of the bound on withdrawn keys for what lies between the check of
-/// a proof and the start of the request at an upstream.
+/// A tick that is this late is logged: the VM was suspended or the process did
+/// not run. That tick also ends everything that has timed out meanwhile.
+constexpr Micros kMinLoggedGap = 1s;
+/// Interval of all periodic work other than time limits of requests, such as
+/// placement and gossip.
+constexpr Micros kPeriodicTick = 250ms;
+/// Margin of the limit on revoked keys, for the time between the check of the
+/// validation age and the start of the request at an upstream.
 constexpr Micros kRevocationMargin = 300ms;
-/// Part of the operators' retry ratio that is used: the rest covers
-/// requests that arrive in one window and are repeated in the next.
+/// Share of the operators' retry ratio that is used. The rest covers requests
+/// that arrive in one window and are retried in the next.
 constexpr double kRetryRatioUsed = 0.8;
 
-/// A daemon that starts hears its peers for so long before what the store says
-/// of the configuration counts: the store may have lost what they know.
-constexpr Micros kPeerPatience = 600ms;
-/// Between tellings of a request that must not run and is not in the store yet:
-/// whoever writes it there may not have heard of it.
-constexpr Micros kUnlistedPause = 1s;
+/// Time that a starting daemon waits for peers before it trusts the
+/// configuration of the store, which may have lost a version that the peers
+/// know.
+constexpr Micros kPeerTimeout = 600ms;
+/// Interval between reports of a blocked request that is not in the store yet:
+/// the placement leader, which writes the list, may have missed it.
+constexpr Micros kUnlistedInterval = 1s;
 
 RelaySettings MakeRelaySettings(const EdgeSettings& aSettings) {
   RelaySettings settings;
@@ -48,12 +50,12 @@
   return settings;
 }
 
-/// All parts of the daemon, on one loop.
+/// Connects all components of the daemon on one event loop.
 ///
-/// The brief asks for a thread a duty. Callers, upstreams and the store
-/// share one here: a VM has a quarter of a core, each wake-up is paid for,
-/// and an event that crosses threads costs two of them. Peers, plans of
-/// placement and the log have threads of their own.
+/// A thread per task was asked for, but callers, upstreams and the store share
+/// this one: a VM has a quarter of a core, each wake-up has its cost, and an
+/// event that crosses threads takes two wake-ups. Peers, placement plans and
+/// the log have threads of their own.
 class EdgeDaemon final : private ClusterListener, private CrashListener {
  public:
   EdgeDaemon(const EdgeSettings& aSettings, asio::io_context& aLoop,
@@ -80,18 +82,18 @@
                }),
         control(*this->adapters.control, this->view.Directory(), this->limits,
                 this->clock),
-        probe(
+        prober(
             UpstreamProberSettings{}, this->control, this->clock,
             [this](Provenance aProvenance) { this->OnSuspicion(aProvenance); }),
         crashDetector(this->crashes, this->control, this->clock, *this),
         blockList(aSettings.storePrefix, this->store, this->crashes,
                   this->clock),
-        lostDomains(this->probe, this->clock, this->random),
-        kept(ConnectionPoolSettings{}, this->clock),
+        domainRecovery(this->prober, this->clock, this->random),
+        connections(ConnectionPoolSettings{}, this->clock),
         relay(RelayContext{
             aLoop, this->relaySettings, *this->adapters.dialect, this->view,
             this->control, this->clock, this->random, this->metrics,
-            this->probe, this->crashes, this->crashDetector, this->kept,
+            this->prober, this->crashes, this->crashDetector, this->connections,
             this->limits, this->chains, this->services, this->demand,
             this->budgets, this->stop,
             [this] { this->OnSuspicion(Provenance::Observed); }}),
@@ -100,37 +102,37 @@
         callers(aLoop, this->relay, this->clock),
         admins(aLoop, this->admin, this->clock),
         plans(aLoop, PlacementSettings{}),
-        controller(MakeKeeperSettings(aSettings), this->store, this->control,
-                   this->view, this->plans, this->clock),
+        controller(MakeControllerSettings(aSettings), this->store,
+                   this->control, this->view, this->plans, this->clock),
         peers(
             aLoop, aSettings, this->store, this->view, this->clock,
             this->random, this->metrics, aEras,
             [this](const UpstreamPtr& aUpstream) {
-              this->probe.Verify(aUpstream);
+              this->prober.Verify(aUpstream);
             },
             [this](const CrashGossip& aGossip, const std::string& aFrom) {
-              this->OnTold(aGossip, aFrom);
+              this->OnPeerCrashes(aGossip, aFrom);
             },
             [this](const LimitGossip& aGossip, const std::string& aReporter,
                    const std::string& aFrom) {
               this->OnPeerLimits(aGossip, aReporter, aFrom);
             },
             [this] { return this->demand.Tokens(this->clock.Now()); }),
-        held(this->metrics, this->clock),
+        bufferedMemory(this->metrics, this->clock),
         fastTimer(aLoop),
-        dutyTimer(aLoop),
+        periodicTimer(aLoop),
         signals(aLoop, SIGTERM, SIGINT, SIGHUP) {}
 
   Result<void> Start();
-  /// Ends what still runs.
+  /// Stops the peer protocol, after the loop has ended.
   void Stop();
 
  private:
-  static PlacementControllerSettings MakeKeeperSettings(
+  static PlacementControllerSettings MakeControllerSettings(
       const EdgeSettings& aSettings) {
     PlacementControllerSettings settings;
     settings.name = aSettings.name;
-    settings.key = aSettings.storePrefix + kDutyKey;
+    settings.key = aSettings.storePrefix + kPlacementLeaseKey;
     return settings;
   }
 
@@ -166,28 +168,31 @@
   void OnUpstreamSuspected() override {
     this->OnSuspicion(Provenance::Observed);
   }
-  /// A peer that listens at `aFrom` tells of requests that end upstreams.
-  void OnTold(const CrashGossip& aGossip, const std::string& aFrom);
-  /// The same of limits that upstreams name.
+  /// Applies a report of requests that crash upstreams from the peer that
+  /// listens at `aFrom`.
+  void OnPeerCrashes(const CrashGossip& aGossip, const std::string& aFrom);
+  /// Applies a report of upstreams' rate limits from the peer that listens at
+  /// `aFrom`.
   void OnPeerLimits(const LimitGossip& aGossip, const std::string& aReporter,
                     const std::string& aFrom);
-  /// The store has come back from a copy: what is known stays in use until it
-  /// is told anew, and what this daemon keeps there is written again.
+  /// Handles a store that was restored from a backup: known state stays in use
+  /// until it is updated, and this daemon's entries are written again.
   void OnStoreRestored(std::uint64_t aBefore, std::uint64_t aEra);
-  /// What must not run is written to the store, or told to who writes it.
-  void KeepBlocked();
+  /// Writes blocked requests to the store, or reports them to the placement
+  /// leader that writes them.
+  void UpdateBlockList();
   void OnSuspicion(Provenance aProvenance);
   void WaitForSignal();
-  /// Finds out that this VM was suspended, by the time since the last look.
-  void NoteGap();
+  /// Detects by the time since the last tick that this VM was suspended.
+  void DetectSuspension();
   void OnFastTick();
-  void OnDutyTick();
-  /// Bytes that this daemon holds for others.
-  BufferedMemory::Bytes HeldBytes() const;
+  void OnPeriodicTick();
+  /// Bytes that this daemon buffers, by purpose.
+  BufferedMemory::Bytes BufferedBytes() const;
   bool IsReady() const;
   std::string MetricsText();
 
-  static constexpr const char* kDutyKey = "placement-duty";
+  static constexpr const char* kPlacementLeaseKey = "placement-duty";
 
   const EdgeSettings& settings;
   asio::io_context& loop;
@@ -207,18 +212,19 @@
   StopPolicy stop;
   CallLimits limits;
   CountedControl control;
-  UpstreamProber probe;
+  UpstreamProber prober;
   CrashTracker crashes{CrashTrackerSettings{}};
   CrashDetector crashDetector;
   BlockList blockList;
   RetrySharer retrySharer;
-  /// `PeerMembers::Changes` when other parts last heard of the members.
-  std::uint64_t knownMembers = 0;
-  Instant lastLook{};
-  /// When what is not in the store yet is told again.
-  Instant nextUnlisted{};
-  DomainRecoveryMonitor lostDomains;
-  ConnectionPool kept;
+  /// `PeerMembers::Changes` as of the last update of `limits` and
+  /// `retrySharer`.
+  std::uint64_t lastMemberChanges = 0;
+  Instant lastTickAt{};
+  /// When unlisted requests are reported again.
+  Instant nextUnlistedReport{};
+  DomainRecoveryMonitor domainRecovery;
+  ConnectionPool connections;
   Relay relay;
   AdminHandler admin;
   CallerListener callers;
@@ -226,9 +232,9 @@
   PlanThread plans;
   PlacementController controller;
   PeerProtocol peers;
-  BufferedMemory held;
+  BufferedMemory bufferedMemory;
   asio::steady_timer fastTimer;
-  asio::steady_timer dutyTimer;
+  asio::steady_timer periodicTimer;
   asio::signal_set signals;
 };
 
@@ -243,7 +249,7 @@
   if (!started) {
     return started;
   }
-  // Whoever places layers hears of lost upstreams from the store itself.
+  // The placement leader reads lost upstreams from the store itself.
   this->follower.SetHasFreshSyncSource([this] {
     return this->peers.Members().HasFreshSyncSource() &&
            !this->controller.IsLeader();
@@ -265,12 +271,12 @@
     this->OnStoreRestored(aBefore, aEra);
   });
   if (!this->peers.IsAlone()) {
-    this->view.AwaitPeers(this->clock.Now() + kPeerPatience);
+    this->view.AwaitPeers(this->clock.Now() + kPeerTimeout);
   }
   this->follower.Start(!this->peers.IsAlone());
   this->WaitForSignal();
   this->OnFastTick();
-  this->OnDutyTick();
+  this->OnPeriodicTick();
   LogInfo("started", {{"name", this->settings.name},
                       {"failure_domain", this->settings.failureDomain},
                       {"listen", this->settings.listen},
@@ -279,21 +285,21 @@
 }
 
 void EdgeDaemon::OnDaemonEntries() {
-  const std::string holder = this->view.Daemons().ValueOf(kDutyKey);
-  this->controller.OnLeaderChanged(holder);
-  this->peers.OnDaemonEntries(holder);
+  const std::string leader = this->view.Daemons().ValueOf(kPlacementLeaseKey);
+  this->controller.OnLeaderChanged(leader);
+  this->peers.OnDaemonEntries(leader);
   this->blockList.OnEntries(this->view.Daemons().Items());
-  if (this->peers.Members().Changes() == this->knownMembers) {
+  if (this->peers.Members().Changes() == this->lastMemberChanges) {
     return;
   }
-  this->knownMembers = this->peers.Members().Changes();
+  this->lastMemberChanges = this->peers.Members().Changes();
   std::map<std::string, std::string> domains;
-  // By hash: the first ones by name may all stand in one failure domain.
-  const std::uint64_t ownPlace = Hash64(this->settings.name);
-  this->retrySharer = {this->peers.Daemons(), 0};
+  // Ordered by hash: the first ones by name may all be in one failure domain.
+  const std::uint64_t ownHash = Hash64(this->settings.name);
+  this->retrySharer = {this->peers.DaemonCount(), 0};
   for (const auto& [name, member] : this->peers.Members().All()) {
     domains[name] = member.failureDomain;
-    this->retrySharer.place += Hash64(name) < ownPlace ? 1 : 0;
+    this->retrySharer.place += Hash64(name) < ownHash ? 1 : 0;
   }
   this->limits.SetDaemons(std::move(domains));
 }
@@ -306,7 +312,7 @@
               {"config_version", this->view.ConfigVersion()},
               {"proof_age_ms", validationAge ? *validationAge / 1ms : -1},
               {"upstreams", this->view.Directory().All().size()},
-              {"daemons", this->peers.Daemons()},
+              {"daemons", this->peers.DaemonCount()},
               {"had_duty", this->controller.IsLeader()}});
   this->metrics.Count("zincstep_store_restores_total");
   this->view.OnRestored(aEra);
@@ -329,18 +335,20 @@
   this->relay.OnBlocked(aRequest);
 }
 
-void EdgeDaemon::OnTold(const CrashGossip& aGossip, const std::string& aFrom) {
-  CrashGossip innocent;
+void EdgeDaemon::OnPeerCrashes(const CrashGossip& aGossip,
+                               const std::string& aFrom) {
+  CrashGossip unrelated;
   for (const UpstreamCrash& crash : aGossip.crashes) {
     const CrashVerdict verdict =
         this->crashDetector.Take(crash, Provenance::Told);
     if (verdict == CrashVerdict::Ignored) {
-      innocent.cleared.push_back(crash.request);
+      unrelated.cleared.push_back(crash.request);
     }
   }
-  if (!innocent.cleared.empty()) {
-    // Who blames it tells the others: hundreds that answered it do not.
-    this->peers.Send(aFrom, std::move(innocent));
+  if (!unrelated.cleared.empty()) {
+    // Only the reporter passes this on: otherwise hundreds of daemons that have
+    // completed the request would broadcast it.
+    this->peers.Send(aFrom, std::move(unrelated));
   }
   for (const RequestFingerprint request : aGossip.cleared) {
     if (this->crashDetector.OnClearedByPeer(request)) {
@@ -368,7 +376,7 @@
   }
 }
 
-void EdgeDaemon::KeepBlocked() {
+void EdgeDaemon::UpdateBlockList() {
   const Instant now = this->clock.Now();
   this->crashes.Tick(now);
   if (this->controller.IsLeader()) {
@@ -377,9 +385,9 @@
   }
   std::vector<UpstreamCrash> unlisted = this->crashes.UnlistedCrashes(now);
   if (unlisted.empty()) {
-    this->nextUnlisted = now + kUnlistedPause;
-  } else if (now >= this->nextUnlisted) {
-    this->nextUnlisted = now + kUnlistedPause;
+    this->nextUnlistedReport = now + kUnlistedInterval;
+  } else if (now >= this->nextUnlistedReport) {
+    this->nextUnlistedReport = now + kUnlistedInterval;
     this->peers.SendToPlacementLeader(CrashGossip{std::move(unlisted), {}});
   }
 }
@@ -391,9 +399,9 @@
 }
 
 void EdgeDaemon::OnSuspicion(Provenance aProvenance) {
-  // Whoever has the duty is to know at once: each tenth of a second counts.
-  // What another found it has told itself; a hundred daemons that tell each
-  // other so are ten thousand messages.
+  // The placement leader has to know at once: each tenth of a second counts.
+  // Reported suspicions were sent by their observer already; if a hundred
+  // daemons forwarded them to each other, that would be ten thousand messages.
   if (aProvenance == Provenance::Observed) {
     this->peers.GossipSoon();
   }
@@ -420,21 +428,21 @@
   });
 }
 
-void EdgeDaemon::NoteGap() {
+void EdgeDaemon::DetectSuspension() {
   const Instant now = this->clock.Now();
-  const Micros gap = now - this->lastLook;
-  if (this->lastLook != Instant{} && gap >= kToldGap) {
+  const Micros gap = now - this->lastTickAt;
+  if (this->lastTickAt != Instant{} && gap >= kMinLoggedGap) {
     const auto age = this->view.ValidationAge();
     LogWarning("time_passed_unseen", {{"gap_ms", gap / 1ms},
                                       {"active", this->relay.Active()},
                                       {"proof_age_ms", age ? *age / 1ms : -1}});
-    this->kept.Clear();
+    this->connections.Clear();
   }
-  this->lastLook = now;
+  this->lastTickAt = now;
 }
 
 void EdgeDaemon::OnFastTick() {
-  this->NoteGap();
+  this->DetectSuspension();
   this->relay.Tick();
   if (this->stop.MayEnd(this->relay.Active(), this->clock.Now())) {
     this->loop.stop();
@@ -449,7 +457,7 @@
   });
 }
 
-void EdgeDaemon::OnDutyTick() {
+void EdgeDaemon::OnPeriodicTick() {
   if (this->stop.ClosesIdle(this->clock.Now())) {
     this->callers.CloseIdle();
   }
@@ -458,25 +466,25 @@
   this->view.Tick();
   this->store.Tick();
   this->limits.Tick();
-  this->lostDomains.Tick(this->view.Directory());
+  this->domainRecovery.Tick(this->view.Directory());
   this->controller.Tick();
   this->peers.Tick();
-  this->KeepBlocked();
-  this->held.Tick(this->HeldBytes());
+  this->UpdateBlockList();
+  this->bufferedMemory.Tick(this->BufferedBytes());
   this->relaySettings.retries.most =
       RetryShare(this->settings.retrySlack, this->retrySharer);
   for (auto& [service, budget] : this->budgets) {
     budget.SetMaxSaved(this->relaySettings.retries.most);
   }
-  this->dutyTimer.expires_after(kDutyTick);
-  this->dutyTimer.async_wait([this](const asio::error_code& aError) {
+  this->periodicTimer.expires_after(kPeriodicTick);
+  this->periodicTimer.async_wait([this](const asio::error_code& aError) {
     if (!aError) {
-      this->OnDutyTick();
+      this->OnPeriodicTick();
     }
   });
 }
 
-BufferedMemory::Bytes EdgeDaemon::HeldBytes() const {
+BufferedMemory::Bytes EdgeDaemon::BufferedBytes() const {
   BufferedMemory::Bytes bytes{};
   const auto of = [&bytes](BufferKind aKind) -> std::size_t& {
     return bytes[static_cast<std::size_t>(aKind)];
@@ -517,7 +525,7 @@
   this->metrics.Set(
       "zincstep_blocked_requests",
       static_cast<double>(this->crashes.Blocked(this->clock.Now()).size()));
-  this->held.Report(this->HeldBytes());
+  this->bufferedMemory.Report(this->BufferedBytes());
   this->metrics.Set("zincstep_placement_duty",
                     this->controller.IsLeader() ? 1 : 0);
   return this->metrics.Text();
--- a/Zincstep/Edge/EdgeDaemon.h
+++ b/Zincstep/Edge/EdgeDaemon.h
@@ -7,11 +7,13 @@
 
 namespace zincstep {
 
-/// Makes the adapters on the daemon's loop.
+/// Creates the adapters on the daemon's event loop.
 using MakeEdgeAdapters = std::function<Result<EdgeAdapters>(
     asio::io_context&, const EdgeSettings&, StoreEraTracker&)>;
 
-/// Runs the daemon until it is told to stop; gives its exit status.
+/// Runs the daemon until SIGTERM or SIGINT. Returns the exit status: 0 after a
+/// regular stop, 1 if a listener cannot be started, 2 if an adapter cannot be
+/// created.
 int RunEdgeDaemon(const EdgeSettings& aSettings,
                   const MakeEdgeAdapters& aMakeAdapters);
 
--- a/Zincstep/Edge/EdgePeerMessage.cpp
+++ b/Zincstep/Edge/EdgePeerMessage.cpp
@@ -15,25 +15,25 @@
 
 namespace fb = flatbuffers;
 
-constexpr std::int64_t kNoProof = -1;
-/// Stands for a limit that has ended.
+constexpr std::int64_t kNoAge = -1;
+/// Encodes a limit that has ended.
 constexpr double kNoLimit = -1;
-/// A pace is told in steps of this.
-constexpr double kPaceStep = 0.01;
-/// Longest text that is unpacked: a list of 100,000 entries.
-constexpr std::uint32_t kLongestText = 64 << 20;
-/// zlib packs no text to a smaller part than this: one that claims so is
-/// damaged.
-constexpr std::uint64_t kMostShrinking = 1032;
-/// How deep messages are nested, and tables in them: one an entry.
-constexpr fb::uoffset_t kMostDepth = 64;
-constexpr fb::uoffset_t kMostTables = 1'000'000;
-/// Of zlib's levels the quickest: entries shrink to an eighth with any.
+/// Resolution of an encoded slowdown.
+constexpr double kSlowdownStep = 0.01;
+/// Maximum size of an unpacked text, in bytes: a list of 100,000 entries.
+constexpr std::uint32_t kMaxTextBytes = 64 << 20;
+/// Maximum compression ratio of zlib. A text that claims more is damaged.
+constexpr std::uint64_t kMaxCompressionRatio = 1032;
+/// Maximum nesting of a message, and maximum number of its tables; each entry
+/// is one.
+constexpr fb::uoffset_t kMaxDepth = 64;
+constexpr fb::uoffset_t kMaxTables = 1'000'000;
+/// The fastest level of zlib. Entries shrink to an eighth at any level.
 constexpr int kPackLevel = 1;
 
-std::uint16_t StepsOf(double aPace) {
-  const double most = std::numeric_limits<std::uint16_t>::max();
-  return static_cast<std::uint16_t>(std::min(most, aPace / kPaceStep));
+std::uint16_t EncodeSlowdown(double aSlowdown) {
+  const double max = std::numeric_limits<std::uint16_t>::max();
+  return static_cast<std::uint16_t>(std::min(max, aSlowdown / kSlowdownStep));
 }
 
 std::string TextOf(const fb::String* aText) {
@@ -49,14 +49,15 @@
     entries.push_back(
         edgewire::CreateEntry(aBuilder, id, value, item.revision.number));
   }
-  const auto written = aBuilder.CreateVector(entries);
+  const auto encoded = aBuilder.CreateVector(entries);
   const auto removed = aBuilder.CreateVectorOfStrings(aList.removed);
   return edgewire::CreateEntryList(aBuilder, aList.at.number, aList.isWhole,
-                                   written, removed, aList.grace.count(),
+                                   encoded, removed, aList.grace.count(),
                                    aList.digest);
 }
 
-/// Writes the bodies; each gives the offset of its table.
+/// Encodes the body of a message; each overload returns the offset of its
+/// table.
 class BodyWriter {
  public:
   explicit BodyWriter(fb::FlatBufferBuilder& aBuilder) : builder(aBuilder) {}
@@ -66,40 +67,40 @@
     works.reserve(aGossip.works.size());
     for (const UpstreamWork& work : aGossip.works) {
       works.emplace_back(work.upstream, static_cast<float>(work.work),
-                         StepsOf(work.pace), work.isSuspect);
+                         EncodeSlowdown(work.slowdown), work.isSuspect);
     }
     return edgewire::CreateWorkGossipDirect(this->builder, &works).Union();
   }
 
-  fb::Offset<void> operator()(const ClusterWant& aWant) {
-    const KnownRevisions& known = aWant.known;
+  fb::Offset<void> operator()(const ClusterQuery& aQuery) {
+    const KnownRevisions& known = aQuery.known;
     return edgewire::CreateClusterWantDirect(
-               this->builder, aWant.question, known.config.number,
-               known.upstreams.number, known.daemons.number, aWant.era,
-               known.configVersion, aWant.failureDomain.c_str(),
-               static_cast<float>(aWant.linkMbps), aWant.wantsEntry,
-               aWant.wantsNames)
+               this->builder, aQuery.queryId, known.config.number,
+               known.upstreams.number, known.daemons.number, aQuery.era,
+               known.configVersion, aQuery.failureDomain.c_str(),
+               static_cast<float>(aQuery.linkMbps), aQuery.needsEntry,
+               aQuery.requestsMembers)
         .Union();
   }
 
-  fb::Offset<void> operator()(const ClusterGive& aGive) {
-    const ClusterUpdate& copy = aGive.copy;
-    const auto upstreams = this->WriteList(copy.upstreams);
-    const auto daemons = this->WriteList(copy.daemons);
-    std::vector<fb::Offset<edgewire::Peer>> names;
-    for (const PeerName& peer : aGive.names) {
-      names.push_back(edgewire::CreatePeerDirect(
+  fb::Offset<void> operator()(const ClusterResponse& aResponse) {
+    const ClusterUpdate& update = aResponse.update;
+    const auto upstreams = this->WriteList(update.upstreams);
+    const auto daemons = this->WriteList(update.daemons);
+    std::vector<fb::Offset<edgewire::Peer>> members;
+    for (const PeerName& peer : aResponse.members) {
+      members.push_back(edgewire::CreatePeerDirect(
           this->builder, peer.name.c_str(), peer.address.c_str(),
           static_cast<float>(peer.linkMbps)));
     }
-    const auto written = this->builder.CreateVector(names);
+    const auto encoded = this->builder.CreateVector(members);
     return edgewire::CreateClusterGive(
-               this->builder, aGive.question, copy.configRevision.number,
-               AgeOrNone(copy.validationAge), upstreams, daemons,
-               AgeOrNone(copy.listsAge), aGive.era, copy.configVersion,
-               aGive.packedGrace.count(), SizeOf(aGive.packedConfig),
-               SizeOf(aGive.packedUpstreams), SizeOf(aGive.packedDaemons),
-               written)
+               this->builder, aResponse.queryId, update.configRevision.number,
+               AgeOrNone(update.validationAge), upstreams, daemons,
+               AgeOrNone(update.listsAge), aResponse.era, update.configVersion,
+               aResponse.packedGrace.count(), SizeOf(aResponse.packedConfig),
+               SizeOf(aResponse.packedUpstreams),
+               SizeOf(aResponse.packedDaemons), encoded)
         .Union();
   }
 
@@ -138,10 +139,10 @@
   }
 
   static std::int64_t AgeOrNone(std::optional<Micros> aAge) {
-    return aAge ? aAge->count() : kNoProof;
+    return aAge ? aAge->count() : kNoAge;
   }
 
-  /// The list; a null offset where there is none.
+  /// Encodes a list; returns a null offset if there is none.
   fb::Offset<edgewire::EntryList> WriteList(
       const std::optional<ListUpdate>& aList) {
     return aList ? zincstep::WriteList(this->builder, *aList) : 0;
@@ -150,7 +151,7 @@
   fb::FlatBufferBuilder& builder;
 };
 
-edgewire::Body TypeOf(const EdgePeerMessage& aMessage) {
+edgewire::Body BodyTypeOf(const EdgePeerMessage& aMessage) {
   constexpr std::array kTypes{
       edgewire::Body_WorkGossip,  edgewire::Body_ClusterWant,
       edgewire::Body_ClusterGive, edgewire::Body_DemandGossip,
@@ -158,12 +159,12 @@
   return kTypes[aMessage.body.index()];
 }
 
-WorkGossip ReadGossip(const edgewire::WorkGossip& aTable) {
+WorkGossip ReadWork(const edgewire::WorkGossip& aTable) {
   WorkGossip gossip;
   if (aTable.works() != nullptr) {
     for (const edgewire::UpstreamWork* work : *aTable.works()) {
       gossip.works.push_back({work->upstream(), work->work(), work->suspect(),
-                              work->pace() * kPaceStep});
+                              work->pace() * kSlowdownStep});
     }
   }
   return gossip;
@@ -212,26 +213,26 @@
   if (aTable == nullptr) {
     return std::nullopt;
   }
-  ListUpdate copy;
-  copy.at = {aTable->at(), aEra};
-  copy.isWhole = aTable->whole();
-  copy.grace = Micros{aTable->grace_us()};
-  copy.digest = aTable->digest();
+  ListUpdate update;
+  update.at = {aTable->at(), aEra};
+  update.isWhole = aTable->whole();
+  update.grace = Micros{aTable->grace_us()};
+  update.digest = aTable->digest();
   if (aTable->entries() != nullptr) {
     for (const edgewire::Entry* entry : *aTable->entries()) {
-      copy.items.push_back({TextOf(entry->id()), TextOf(entry->value()),
-                            StoreRevision{entry->revision(), aEra}});
+      update.items.push_back({TextOf(entry->id()), TextOf(entry->value()),
+                              StoreRevision{entry->revision(), aEra}});
     }
   }
   if (aTable->removed() != nullptr) {
     for (const fb::String* id : *aTable->removed()) {
-      copy.removed.push_back(TextOf(id));
+      update.removed.push_back(TextOf(id));
     }
   }
-  return copy;
+  return update;
 }
 
-/// The text that was packed; none where it is damaged.
+/// Uncompresses a text; returns none if it is damaged.
 std::optional<std::string> UnpackText(std::string_view aPacked) {
   std::uint32_t length = 0;
   if (aPacked.size() <= sizeof(length)) {
@@ -239,7 +240,8 @@
   }
   std::memcpy(&length, aPacked.data(), sizeof(length));
   aPacked.remove_prefix(sizeof(length));
-  if (length > kLongestText || length > aPacked.size() * kMostShrinking) {
+  if (length > kMaxTextBytes ||
+      length > aPacked.size() * kMaxCompressionRatio) {
     return std::nullopt;
   }
   std::string text(length, '\0');
@@ -253,7 +255,7 @@
   return text;
 }
 
-/// The list that was packed; none where it is damaged.
+/// Uncompresses and parses a list; returns none if it is damaged.
 std::optional<ListUpdate> UnpackList(std::string_view aPacked,
                                      std::uint64_t aEra) {
   const std::optional<std::string> text = UnpackText(aPacked);
@@ -261,88 +263,89 @@
     return std::nullopt;
   }
   fb::Verifier verifier(reinterpret_cast<const std::uint8_t*>(text->data()),
-                        text->size(), kMostDepth, kMostTables);
+                        text->size(), kMaxDepth, kMaxTables);
   if (!verifier.VerifyBuffer<edgewire::EntryList>(nullptr)) {
     return std::nullopt;
   }
   return ReadList(fb::GetRoot<edgewire::EntryList>(text->data()), aEra);
 }
 
-/// What stands behind a message, from its beginning on.
+/// Reads the packed parts behind a message in sequence.
 class PackedParts {
  public:
-  explicit PackedParts(std::string_view aParts) : rest(aParts) {}
+  explicit PackedParts(std::string_view aParts) : remaining(aParts) {}
 
-  std::string_view Take(std::uint32_t aBytes) {
-    const std::string_view part = this->rest.substr(0, aBytes);
-    this->rest.remove_prefix(part.size());
+  std::string_view Next(std::uint32_t aBytes) {
+    const std::string_view part = this->remaining.substr(0, aBytes);
+    this->remaining.remove_prefix(part.size());
     return part;
   }
 
  private:
-  std::string_view rest;
+  std::string_view remaining;
 };
 
-ClusterWant ReadWant(const edgewire::ClusterWant& aTable) {
+ClusterQuery ReadQuery(const edgewire::ClusterWant& aTable) {
   const std::uint64_t era = aTable.era();
-  ClusterWant want;
-  want.era = era;
-  want.question = aTable.question();
+  ClusterQuery query;
+  query.era = era;
+  query.queryId = aTable.question();
   const auto known = [era](std::uint64_t aNumber) {
-    return aNumber == kNotWanted.number ? kNotWanted
-                                        : StoreRevision{aNumber, era};
+    return aNumber == kNotRequested.number ? kNotRequested
+                                           : StoreRevision{aNumber, era};
   };
-  want.known.config = known(aTable.config_revision());
-  want.known.upstreams = known(aTable.upstreams_at());
-  want.known.daemons = known(aTable.daemons_at());
-  want.known.configVersion = aTable.config_version();
-  want.failureDomain = TextOf(aTable.failure_domain());
-  want.linkMbps = std::isfinite(aTable.link_mbps()) ? aTable.link_mbps() : 0;
-  want.wantsEntry = aTable.wants_entry();
-  want.wantsNames = aTable.wants_names();
-  return want;
+  query.known.config = known(aTable.config_revision());
+  query.known.upstreams = known(aTable.upstreams_at());
+  query.known.daemons = known(aTable.daemons_at());
+  query.known.configVersion = aTable.config_version();
+  query.failureDomain = TextOf(aTable.failure_domain());
+  query.linkMbps = std::isfinite(aTable.link_mbps()) ? aTable.link_mbps() : 0;
+  query.needsEntry = aTable.wants_entry();
+  query.requestsMembers = aTable.wants_names();
+  return query;
 }
 
-/// Bytes of what stands behind the message.
+/// Total size of the packed parts behind the message, in bytes.
 std::uint64_t PackedBytes(const edgewire::ClusterGive& aTable) {
   return std::uint64_t{aTable.config_bytes()} + aTable.upstreams_bytes() +
          aTable.daemons_bytes();
 }
 
-ClusterGive ReadGive(const edgewire::ClusterGive& aTable, PackedParts aParts) {
-  ClusterGive give;
-  give.era = aTable.era();
-  give.question = aTable.question();
-  give.copy.configRevision = {aTable.config_revision(), give.era};
-  give.copy.configVersion = aTable.config_version();
-  give.copy.validationAge = ReadAge(aTable.proof_age_us());
-  give.copy.upstreams = ReadList(aTable.upstreams(), give.era);
-  give.copy.daemons = ReadList(aTable.daemons(), give.era);
-  give.copy.listsAge = ReadAge(aTable.lists_age_us());
+ClusterResponse ReadResponse(const edgewire::ClusterGive& aTable,
+                             PackedParts aParts) {
+  ClusterResponse response;
+  response.era = aTable.era();
+  response.queryId = aTable.question();
+  response.update.configRevision = {aTable.config_revision(), response.era};
+  response.update.configVersion = aTable.config_version();
+  response.update.validationAge = ReadAge(aTable.proof_age_us());
+  response.update.upstreams = ReadList(aTable.upstreams(), response.era);
+  response.update.daemons = ReadList(aTable.daemons(), response.era);
+  response.update.listsAge = ReadAge(aTable.lists_age_us());
   if (aTable.config_bytes() > 0) {
-    give.copy.configText =
-        UnpackText(aParts.Take(aTable.config_bytes())).value_or("");
+    response.update.configText =
+        UnpackText(aParts.Next(aTable.config_bytes())).value_or("");
   }
   if (aTable.upstreams_bytes() > 0) {
-    give.copy.upstreams =
-        UnpackList(aParts.Take(aTable.upstreams_bytes()), give.era);
-    if (give.copy.upstreams) {
-      give.copy.upstreams->grace = Micros{aTable.packed_grace_us()};
+    response.update.upstreams =
+        UnpackList(aParts.Next(aTable.upstreams_bytes()), response.era);
+    if (response.update.upstreams) {
+      response.update.upstreams->grace = Micros{aTable.packed_grace_us()};
     }
   }
   if (aTable.daemons_bytes() > 0) {
-    give.copy.daemons =
-        UnpackList(aParts.Take(aTable.daemons_bytes()), give.era);
+    response.update.daemons =
+        UnpackList(aParts.Next(aTable.daemons_bytes()), response.era);
   }
   if (aTable.names() != nullptr) {
     for (const edgewire::Peer* peer : *aTable.names()) {
       const double link =
           std::isfinite(peer->link_mbps()) ? peer->link_mbps() : 0;
-      give.names.push_back(
+      response.members.push_back(
           {TextOf(peer->name()), TextOf(peer->address()), "", link});
     }
   }
-  return give;
+  return response;
 }
 
 }  // namespace
@@ -373,41 +376,42 @@
   const auto replyTo = builder.CreateString(aMessage.replyTo);
   const auto body = std::visit(BodyWriter(builder), aMessage.body);
   builder.Finish(edgewire::CreateMessage(builder, sender, replyTo,
-                                         TypeOf(aMessage), body));
-  PeerFrame text{{reinterpret_cast<const char*>(builder.GetBufferPointer()),
-                  builder.GetSize()},
-                 {}};
-  if (const auto* give = std::get_if<ClusterGive>(&aMessage.body)) {
+                                         BodyTypeOf(aMessage), body));
+  PeerFrame frame{{reinterpret_cast<const char*>(builder.GetBufferPointer()),
+                   builder.GetSize()},
+                  {}};
+  if (const auto* response = std::get_if<ClusterResponse>(&aMessage.body)) {
     for (const SharedBytes& bytes :
-         {give->packedConfig, give->packedUpstreams, give->packedDaemons}) {
+         {response->packedConfig, response->packedUpstreams,
+          response->packedDaemons}) {
       if (bytes) {
-        text.shared.push_back(bytes);
+        frame.shared.push_back(bytes);
       }
     }
   }
-  return text;
+  return frame;
 }
 
 Result<EdgePeerMessage> ReadEdgePeerMessage(std::string_view aBuffer) {
   fb::Verifier verifier(reinterpret_cast<const std::uint8_t*>(aBuffer.data()),
-                        aBuffer.size(), kMostDepth, kMostTables);
+                        aBuffer.size(), kMaxDepth, kMaxTables);
   if (!edgewire::VerifyMessageBuffer(verifier)) {
-    return Fail(ErrorKind::BadRequest, "not a message");
+    return Fail(ErrorKind::BadRequest, "malformed peer message");
   }
   const edgewire::Message* table = edgewire::GetMessage(aBuffer.data());
   EdgePeerMessage message{
       TextOf(table->sender()), TextOf(table->reply_to()), {}};
   if (const auto* gossip = table->body_as_WorkGossip()) {
-    message.body = ReadGossip(*gossip);
-  } else if (const auto* want = table->body_as_ClusterWant()) {
-    message.body = ReadWant(*want);
-  } else if (const auto* give = table->body_as_ClusterGive()) {
-    const std::uint64_t packed = PackedBytes(*give);
+    message.body = ReadWork(*gossip);
+  } else if (const auto* query = table->body_as_ClusterWant()) {
+    message.body = ReadQuery(*query);
+  } else if (const auto* response = table->body_as_ClusterGive()) {
+    const std::uint64_t packed = PackedBytes(*response);
     if (packed > aBuffer.size()) {
-      return Fail(ErrorKind::BadRequest, "a message that lacks its end");
+      return Fail(ErrorKind::BadRequest, "truncated peer message");
     }
-    message.body =
-        ReadGive(*give, PackedParts(aBuffer.substr(aBuffer.size() - packed)));
+    message.body = ReadResponse(
+        *response, PackedParts(aBuffer.substr(aBuffer.size() - packed)));
   } else if (const auto* demand = table->body_as_DemandGossip()) {
     message.body = DemandGossip{demand->tokens()};
   } else if (const auto* crashes = table->body_as_CrashGossip()) {
@@ -415,7 +419,7 @@
   } else if (const auto* limits = table->body_as_LimitGossip()) {
     message.body = ReadLimits(*limits);
   } else {
-    return Fail(ErrorKind::BadRequest, "a message without a body");
+    return Fail(ErrorKind::BadRequest, "peer message without a body");
   }
   return message;
 }
--- a/Zincstep/Edge/EdgePeerMessage.h
+++ b/Zincstep/Edge/EdgePeerMessage.h
@@ -14,97 +14,102 @@
 
 namespace zincstep {
 
-/// Work of one daemon in flight at one upstream.
+/// Work that one daemon has in flight at one upstream.
 struct UpstreamWork {
-  /// The upstream's number, as `LiveUpstream::Number`.
+  /// The upstream's number; see `LiveUpstream::Number`.
   std::uint64_t upstream = 0;
   /// In tokens x layers, or in requests.
   double work = 0;
   bool isSuspect = false;
-  /// Above 1 it is slower than its kind, as it told the daemon.
-  double pace = 1;
+  /// Time per step over the normal time of the upstream's kind, as the upstream
+  /// reported it to the sender. Above 1: slower.
+  double slowdown = 1;
 };
 
-/// What a daemon tells the others of its failure domain.
+/// A daemon's work in flight, sent to the others of its failure domain.
 struct WorkGossip {
   std::vector<UpstreamWork> works;
 };
 
-/// Stands for any revision, of any era: it is not to be told.
-constexpr StoreRevision kNotWanted{std::numeric_limits<std::uint64_t>::max(),
-                                   std::numeric_limits<std::uint64_t>::max()};
+/// Requests no update, whatever the revision and era.
+constexpr StoreRevision kNotRequested{
+    std::numeric_limits<std::uint64_t>::max(),
+    std::numeric_limits<std::uint64_t>::max()};
 
-/// Asks a peer for what it knows beyond these revisions.
-struct ClusterWant {
-  /// Era of the store, as the sender knows it; all revisions are of it.
+/// Queries a peer for updates since these revisions.
+struct ClusterQuery {
+  /// Era of the store as known to the sender; all revisions are of this era.
   std::uint64_t era = 0;
-  std::uint64_t question = 0;
+  std::uint64_t queryId = 0;
   KnownRevisions known;
   std::string failureDomain;
-  /// Of the sender's VM.
+  /// Link of the sender's VM, in Mbit/s.
   double linkMbps = 0;
-  /// Whether the sender is to have an entry in the store.
-  bool wantsEntry = false;
-  /// Whether the sender asks who is there.
-  bool wantsNames = false;
+  /// Whether the sender needs an entry in the store.
+  bool needsEntry = false;
+  /// Whether the sender requests the names of other daemons.
+  bool requestsMembers = false;
 };
 
-/// The answer to a question.
-struct ClusterGive {
-  /// Era of the store, as the sender knows it; all revisions are of it.
+/// The response to a `ClusterQuery`.
+struct ClusterResponse {
+  /// Era of the store as known to the sender; all revisions are of this era.
   std::uint64_t era = 0;
-  std::uint64_t question = 0;
-  ClusterUpdate copy;
-  /// By `PackText` and `PackList` in place of the copy's, null where there is
-  /// none; read, they stand in the copy.
+  std::uint64_t queryId = 0;
+  ClusterUpdate update;
+  /// Packed by `PackText` and `PackList`, sent in place of the same parts of
+  /// `update`; null if absent. Parsing a message unpacks them into `update`.
   SharedBytes packedConfig;
   SharedBytes packedUpstreams;
   SharedBytes packedDaemons;
-  /// For so long what the packed list of upstreams removes may only have
-  /// lapsed.
+  /// How long entries that the packed list of upstreams removes may only have
+  /// expired.
   Micros packedGrace{0};
-  /// The first daemons of the asker's failure domain, where it asks for names.
-  std::vector<PeerName> names;
+  /// The highest-ranked daemons of the requester's failure domain, if it
+  /// requested them.
+  std::vector<PeerName> members;
 };
 
-/// What a daemon tells whoever places layers.
+/// A daemon's demand, sent to the placement leader.
 struct DemandGossip {
-  /// Tokens of requests that its callers would have in flight if all were
+  /// Tokens of the requests that its callers would have in flight if all were
   /// served.
   double tokens = 0;
 };
 
-/// What a daemon tells all others of requests that end upstreams.
+/// Requests that crash upstreams, sent to all daemons.
 struct CrashGossip {
   std::vector<UpstreamCrash> crashes;
-  /// Blamed before, and answered whole now.
+  /// Requests that were suspected before and have now completed.
   std::vector<RequestFingerprint> cleared;
 };
 
-/// What a daemon tells all others of limits that upstreams name.
+/// Rate limits that upstreams have announced, sent to all daemons.
 struct LimitGossip {
   std::vector<LimitNotice> limits;
 };
 
-using EdgePeerBody = std::variant<WorkGossip, ClusterWant, ClusterGive,
+using EdgePeerBody = std::variant<WorkGossip, ClusterQuery, ClusterResponse,
                                   DemandGossip, CrashGossip, LimitGossip>;
 
-/// A message with the daemon that sent it.
+/// A message and the daemon that sent it.
 struct EdgePeerMessage {
   std::string sender;
-  /// host:port at which the sender listens for answers.
+  /// host:port at which the sender listens for responses.
   std::string replyTo;
   EdgePeerBody body;
 };
 
-/// A text as it is told to many: compressed, behind its length.
+/// Compresses a text for sending to many peers; prefixed with its uncompressed
+/// length.
 std::string PackText(std::string_view aText);
-/// A list as it is told to many: a FlatBuffer, by `PackText`. Entries of
-/// upstreams are texts that differ in a few places.
+/// Encodes a list as a FlatBuffer and compresses it by `PackText`. Entries of
+/// upstreams differ in few places, so they compress well.
 std::string PackList(const ListUpdate& aList);
-/// The message as a FlatBuffer, and what is packed behind it.
+/// Encodes a message as a FlatBuffer, followed by its packed parts.
 PeerFrame WriteEdgePeerMessage(const EdgePeerMessage& aMessage);
-/// The message in a buffer; fails with `BadRequest` where it has none.
+/// Parses a message. Fails with `BadRequest` if the buffer is malformed,
+/// truncated or has no body.
 Result<EdgePeerMessage> ReadEdgePeerMessage(std::string_view aBuffer);
 
 }  // namespace zincstep
--- a/Zincstep/Edge/EdgeSettings.cpp
+++ b/Zincstep/Edge/EdgeSettings.cpp
@@ -8,23 +8,24 @@
 
 namespace {
 
-constexpr std::int64_t kMostMillis = 600'000;
+constexpr std::int64_t kMaxMillis = 600'000;
 
-/// What lies between a look at an age and the last work on its ground.
-constexpr Micros kRelianceMargin = 650ms;
-/// Less than this would pass before a peer's answer comes: the store is asked.
-constexpr Micros kShortestReliance = 1s;
+/// Time between a check of the age and the last action that relies on it.
+constexpr Micros kStalenessMargin = 650ms;
+/// Below this a peer's response would already be too old on arrival, and the
+/// daemon would read the store instead.
+constexpr Micros kMinStaleness = 1s;
 
-/// `true` or `false` as the platform writes it.
+/// Parses the platform's notation of booleans, `true` or `false`.
 bool IsTrue(const std::string& aText) { return aText == "true"; }
 
 }  // namespace
 
 Micros MaxSyncStaleness(const EdgeSettings& aSettings) {
-  return std::max(aSettings.drainNotice - kRelianceMargin, kShortestReliance);
+  return std::max(aSettings.drainNotice - kStalenessMargin, kMinStaleness);
 }
 
-EdgeSettings ReadEdgeSettings(int aCount, char** aWords) {
+EdgeSettings ReadEdgeSettings(int aArgumentCount, char** aArguments) {
   EdgeSettings settings;
   std::string failsClosed = "true";
   SettingsReader reader("zincstep-edge", "");
@@ -38,28 +39,29 @@
                  "address for other daemons", true);
   reader.Address("store", settings.store, "address of the platform's store",
                  true);
-  reader.Text("seeds", settings.seeds, "addresses of other daemons, by commas");
+  reader.Text("seeds", settings.seeds,
+              "comma-separated addresses of other daemons");
   reader.Text("store-prefix", settings.storePrefix,
               "key prefix of the daemons' own entries");
-  reader.Millis("drain-notice-ms", settings.drainNotice, 1, kMostMillis,
-                "time after which a leaving upstream gets no more work");
-  reader.Millis("key-revocation-ms", settings.keyRevocation, 1, kMostMillis,
-                "time after which a withdrawn key must not run");
+  reader.Millis("drain-notice-ms", settings.drainNotice, 1, kMaxMillis,
+                "time after which a leaving upstream receives no more work");
+  reader.Millis("key-revocation-ms", settings.keyRevocation, 1, kMaxMillis,
+                "time after which a revoked key must be rejected");
   reader.Text("fail-closed", failsClosed,
-              "true: keys need a proof that they still hold");
+              "true: reject keys that cannot be validated");
   reader.Number("stop-grace-s", settings.stopGraceSeconds, 0.5, 600,
                 "seconds from SIGTERM until the process is killed");
   reader.Number("retry-ratio", settings.retryRatio, 0, 10,
-                "repeats as a share of requests");
+                "retries as a share of requests");
   reader.Number("retry-slack", settings.retrySlack, 0, 1e6,
-                "repeats beyond that, of all daemons");
+                "retries beyond that, for all daemons together");
   reader.Number("link-mbps", settings.linkMbps, 0.001, 1e7,
                 "link of this VM, in Mbit/s");
   reader.Number("memory-mb", settings.memoryMb, 16, 1e7,
-                "memory that the process may take, in MB");
+                "memory limit of the process, in MB");
   reader.Text("log-level", settings.logLevel,
               "trace, debug, info, warn, error or off");
-  ReadOrExit(reader, aCount, aWords);
+  ReadOrExit(reader, aArgumentCount, aArguments);
   settings.failsClosed = IsTrue(failsClosed);
   return settings;
 }
--- a/Zincstep/Edge/PackedConfiguration.cpp
+++ b/Zincstep/Edge/PackedConfiguration.cpp
@@ -4,12 +4,12 @@
 
 namespace zincstep {
 
-SharedBytes PackedConfiguration::Of(const ClusterView& aView) {
-  const bool isKept = this->bytes &&
-                      this->foundAt == aView.ConfigStoreRevision() &&
-                      this->version == aView.ConfigVersion();
-  if (!isKept) {
-    this->foundAt = aView.ConfigStoreRevision();
+SharedBytes PackedConfiguration::Get(const ClusterView& aView) {
+  const bool isCurrent = this->bytes &&
+                         this->revision == aView.ConfigStoreRevision() &&
+                         this->version == aView.ConfigVersion();
+  if (!isCurrent) {
+    this->revision = aView.ConfigStoreRevision();
     this->version = aView.ConfigVersion();
     this->bytes =
         std::make_shared<const std::string>(PackText(aView.ConfigText()));
--- a/Zincstep/Edge/PackedLists.cpp
+++ b/Zincstep/Edge/PackedLists.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-/// Entries from which on a list is packed: fewer fit one packet.
-constexpr std::size_t kFewestPacked = 8;
-/// Askers' revisions that are remembered of one state of the list, and the
-/// bytes of what is packed for them.
-constexpr std::size_t kMostKept = 64;
-constexpr std::size_t kMostBytes = 2 << 20;
+/// Minimum number of entries of a packed list: fewer fit into one packet.
+constexpr std::size_t kMinPackedEntries = 8;
+/// Maximum number of lists cached for one revision, one for each revision of
+/// requesters, and the size at which the cache is cleared.
+constexpr std::size_t kMaxCachedLists = 64;
+constexpr std::size_t kMaxCachedBytes = 2 << 20;
 
 }  // namespace
 
 bool PackedLists::IsLong(const ListUpdate& aList) {
-  return aList.items.size() + aList.removed.size() >= kFewestPacked;
+  return aList.items.size() + aList.removed.size() >= kMinPackedEntries;
 }
 
 const PackedList* PackedLists::Find(StoreRevision aSince,
@@ -35,15 +35,15 @@
 std::size_t PackedLists::Bytes() const {
   std::size_t bytes = 0;
   for (const PackedList& list : this->lists) {
-    bytes += list.text->size();
+    bytes += list.bytes->size();
   }
   return bytes;
 }
 
 const PackedList& PackedLists::Add(StoreRevision aSince,
                                    const ListUpdate& aList) {
-  if (aList.at != this->at || this->lists.size() >= kMostKept ||
-      this->Bytes() >= kMostBytes) {
+  if (aList.at != this->at || this->lists.size() >= kMaxCachedLists ||
+      this->Bytes() >= kMaxCachedBytes) {
     this->lists.clear();
     this->at = aList.at;
   }
--- a/Zincstep/Edge/PackedLists.h
+++ b/Zincstep/Edge/PackedLists.h
@@ -10,30 +10,32 @@
 
 namespace zincstep {
 
-/// A list, or its changes, as it goes to whoever knows it as of one revision.
+/// A compressed list, full or incremental, for requesters that have the list as
+/// of one revision.
 struct PackedList {
   StoreRevision since;
-  SharedBytes text;
-  bool isWhole = false;
+  SharedBytes bytes;
+  bool isFull = false;
 };
 
-/// Keeps what was packed of a list for one asker for the next.
+/// Caches compressed lists, so that requesters with the same revision share
+/// them.
 ///
-/// A hundred daemons of a domain ask its first several times a second, most of
-/// them for the same changes: 3,000 entries that change at once were a megabyte
-/// to write, and to send, for each of them.
+/// A hundred daemons of a domain query its first several times per second, most
+/// of them for the same changes. 3,000 entries that change at once took a
+/// megabyte to encode and to send for each of them.
 class PackedLists {
  public:
-  /// What was packed of the list as of `aAt` for an asker that has it as of
-  /// `aSince`; null where nothing was.
+  /// Returns the cached list as of `aAt` for a requester that has it as of
+  /// `aSince`; null if there is none.
   const PackedList* Find(StoreRevision aSince, StoreRevision aAt) const;
-  /// Packs a list; what was packed of an earlier state is forgotten.
+  /// Compresses and caches a list. Drops cached lists of an earlier revision.
   const PackedList& Add(StoreRevision aSince, const ListUpdate& aList);
 
-  /// Bytes that are kept.
+  /// Cached bytes.
   std::size_t Bytes() const;
 
-  /// Whether a list is long enough to be packed.
+  /// Returns whether a list is long enough to be packed.
   static bool IsLong(const ListUpdate& aList);
 
  private:
--- a/Zincstep/Edge/PeerByteCount.cpp
+++ b/Zincstep/Edge/PeerByteCount.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Between two log lines.
-constexpr Micros kLinePause = 10s;
+/// Interval between log lines.
+constexpr Micros kLogInterval = 10s;
 
 }  // namespace
 
@@ -42,20 +42,20 @@
   LogInfo(
       "peer_bytes",
       {{"sent_work", kind(this->sent, PeerMessageKind::Work)},
-       {"sent_want", kind(this->sent, PeerMessageKind::Want)},
-       {"sent_give", kind(this->sent, PeerMessageKind::Give)},
+       {"sent_want", kind(this->sent, PeerMessageKind::Query)},
+       {"sent_give", kind(this->sent, PeerMessageKind::Response)},
        {"sent_other", kind(this->sent, PeerMessageKind::Demand) +
                           kind(this->sent, PeerMessageKind::Crashes) +
                           kind(this->sent, PeerMessageKind::Limits)},
        {"received_work", kind(this->received, PeerMessageKind::Work)},
-       {"received_want", kind(this->received, PeerMessageKind::Want)},
-       {"received_give", kind(this->received, PeerMessageKind::Give)},
+       {"received_want", kind(this->received, PeerMessageKind::Query)},
+       {"received_give", kind(this->received, PeerMessageKind::Response)},
        {"received_other", kind(this->received, PeerMessageKind::Demand) +
                               kind(this->received, PeerMessageKind::Crashes) +
                               kind(this->received, PeerMessageKind::Limits)}});
   this->sent.fill(0);
   this->received.fill(0);
-  this->nextLogAt = aNow + kLinePause;
+  this->nextLogAt = aNow + kLogInterval;
 }
 
 }  // namespace zincstep
--- a/Zincstep/Edge/PeerByteCount.h
+++ b/Zincstep/Edge/PeerByteCount.h
@@ -10,12 +10,12 @@
 namespace zincstep {
 
 /// Kinds of messages between daemons, in the order of `EdgePeerBody`.
-enum class PeerMessageKind { Work, Want, Give, Demand, Crashes, Limits };
+enum class PeerMessageKind { Work, Query, Response, Demand, Crashes, Limits };
 
 inline constexpr NameTable<PeerMessageKind, 6> kPeerMessageNames{{
     {PeerMessageKind::Work, "work"},
-    {PeerMessageKind::Want, "want"},
-    {PeerMessageKind::Give, "give"},
+    {PeerMessageKind::Query, "want"},
+    {PeerMessageKind::Response, "give"},
     {PeerMessageKind::Demand, "demand"},
     {PeerMessageKind::Crashes, "crashes"},
     {PeerMessageKind::Limits, "limits"},
@@ -23,21 +23,21 @@
 
 static_assert(std::variant_size_v<EdgePeerBody> == kPeerMessageNames.size());
 
-/// The kind of a message.
+/// Returns the kind of a message.
 PeerMessageKind KindOf(const EdgePeerBody& aBody);
 
 /// Counts the bytes of messages between daemons by kind and direction.
 ///
-/// The smallest VMs have 20 Mbit/s: which kind takes them has to be seen at
-/// each of them.
+/// The smallest VMs have 20 Mbit/s, so each daemon has to show which kind uses
+/// them.
 class PeerByteCount {
  public:
   explicit PeerByteCount(Metrics& aMetrics) : metrics(aMetrics) {}
 
   void AddSent(PeerMessageKind aKind, std::size_t aBytes);
   void AddReceived(PeerMessageKind aKind, std::size_t aBytes);
-  /// Logs the bytes since the last such line where it is time and there were
-  /// any; to be called several times a second.
+  /// Logs the bytes since the last log line, if it is due and there were any.
+  /// Called several times per second.
   void Tick(Instant aNow);
 
  private:
--- a/Zincstep/Edge/PeerMembers.cpp
+++ b/Zincstep/Edge/PeerMembers.cpp
@@ -10,62 +10,63 @@
 
 namespace {
 
-/// So many answers in a row without fresh lists: the member does not reach the
-/// store, and the next one is asked. Where the first ones do not, it may be
-/// away for all: each further one is given more time, so that not one after
-/// the other begins to ask it.
-constexpr int kMostStale = 3;
-constexpr int kMostStaleLater = 12;
-constexpr std::size_t kQuicklyPassed = 3;
-/// Up to so many daemons of a failure domain each may ask the store: they serve
-/// sooner after a start. Beyond, the calls of a start, or of a cut that ends,
-/// would grow with all daemons.
-constexpr std::size_t kFewDaemons = 64;
-/// Between questions to one that was passed over.
-constexpr Micros kPassedOverPause = 2s;
-/// Lists that are older when they are told come from a peer that does not
+/// Consecutive responses without fresh lists after which a member counts as
+/// unable to reach the store and the next one is queried. If the first ones all
+/// fail, the store may be down for all; further members are given more time, so
+/// that they do not start to read it one after the other.
+constexpr int kMaxStale = 3;
+constexpr int kMaxStaleLowRank = 12;
+constexpr std::size_t kQuickSkipRanks = 3;
+/// Up to this many daemons of a failure domain may each read the store, which
+/// lets them serve sooner after a start. Above it, the number of calls at a
+/// start or at the end of a partition would grow with the number of daemons.
+constexpr std::size_t kMaxDirectReaders = 64;
+/// Interval between queries to a skipped member.
+constexpr Micros kSkipRetryInterval = 2s;
+/// Lists that are older than this on arrival come from a peer that does not
 /// reach the store itself.
-constexpr Micros kFreshLists = 1100ms;
-/// Members that are missing from the list which the store has from a copy are
-/// kept for so long: all write their entries again within a second, and these
-/// are told once a second. Without them each daemon would be the first of its
-/// domain and read all lists.
-constexpr Micros kReturnTime = 3s;
-/// A peer without an entry is remembered for so long after it was heard of.
-constexpr Micros kUnlistedLife = 10s;
-constexpr Micros kForgettingPause = 1s;
-/// After it first heard who is there a daemon waits so long before it leads:
-/// those that start together are heard of one after the other.
-constexpr Micros kSettleTime = 300ms;
-/// A daemon that nobody answers begins by itself after this time, and up to
-/// three times as long after it: when all seeds are away, hundreds that began
-/// at once would each read all lists.
-constexpr Micros kShortestLoneliness = 1s;
-constexpr double kLonelinessSpread = 3;
-/// A daemon whose seniors do not answer at all asks the store after so long,
-/// times the factor that it has drawn for its start.
-constexpr Micros kIsolatedAfter = 3s;
-/// Daemons of a failure domain that are named to an asker: the first, and two
-/// that are asked where it does not answer.
-constexpr std::size_t kNamed = 3;
+constexpr Micros kMaxFreshListsAge = 1100ms;
+/// Time that missing members are retained after the store was restored from a
+/// backup. All write their entries again within a second, and updates are sent
+/// once per second. Without the retained members each daemon would rank first
+/// in its domain and read all lists.
+constexpr Micros kRestoreGracePeriod = 3s;
+/// Time that a peer without an entry is retained after it was last seen alive.
+constexpr Micros kUnlistedTtl = 10s;
+constexpr Micros kExpiryInterval = 1s;
+/// Time between the first discovery of peers and leading the domain: daemons
+/// that start together are discovered one after the other.
+constexpr Micros kSettleDelay = 300ms;
+/// Minimum time after which a daemon without any response reads the store
+/// itself; the jitter adds up to three times as much. If all seeds are down,
+/// hundreds of daemons would otherwise read all lists at once.
+constexpr Micros kMinIsolationTimeout = 1s;
+constexpr double kIsolationJitter = 3;
+/// Time without any response from higher-ranked members after which a daemon
+/// reads the store, plus the daemon's share of the isolation jitter.
+constexpr Micros kNoResponseTimeout = 3s;
+/// Number of daemons of a failure domain that a requester is sent: the first,
+/// and two to query if that does not respond.
+constexpr std::size_t kMaxDiscovered = 3;
 
 }  // namespace
 
 PeerMembers::PeerMembers(const EdgeSettings& aSettings, const Clock& aClock)
     : settings(aSettings),
       clock(aClock),
-      own{aSettings.name, aSettings.peerListen, aSettings.failureDomain,
-          aSettings.linkMbps},
+      self{aSettings.name, aSettings.peerListen, aSettings.failureDomain,
+           aSettings.linkMbps},
       startedAt(aClock.Now()),
-      answeredAt(aClock.Now()) {
+      lastResponseAt(aClock.Now()) {
   Random random{Hash64(aSettings.name)};
-  const double factor = 1 + kLonelinessSpread * random.Unit();
-  this->isolationTimeout = FromSeconds(ToSeconds(kShortestLoneliness) * factor);
-  this->order[this->own.failureDomain].insert(this->own);
+  const double factor = 1 + kIsolationJitter * random.Unit();
+  this->isolationTimeout =
+      FromSeconds(ToSeconds(kMinIsolationTimeout) * factor);
+  this->order[this->self.failureDomain].insert(this->self);
 }
 
 void PeerMembers::StartWithoutPeers() {
-  this->discoveredAt = this->clock.Now() - kSettleTime;
+  this->discoveredAt = this->clock.Now() - kSettleDelay;
 }
 
 bool PeerMembers::Precedence::operator()(const PeerName& aOne,
@@ -74,28 +75,29 @@
                                           : aOne.name < aOther.name;
 }
 
-PeerName PeerMembers::NameOf(const std::string& aName, const Member& aMember) {
+PeerName PeerMembers::ToPeerName(const std::string& aName,
+                                 const Member& aMember) {
   return {aName, aMember.address, aMember.failureDomain, aMember.linkMbps};
 }
 
 std::vector<PeerMembers::Member*> PeerMembers::HigherRanked() {
-  std::vector<Member*> seniors;
-  for (const PeerName& peer : this->order.at(this->own.failureDomain)) {
-    if (peer.name == this->own.name) {
+  std::vector<Member*> higherRanked;
+  for (const PeerName& peer : this->order.at(this->self.failureDomain)) {
+    if (peer.name == this->self.name) {
       break;
     }
-    seniors.push_back(&this->members.at(peer.name));
+    higherRanked.push_back(&this->members.at(peer.name));
   }
-  return seniors;
+  return higherRanked;
 }
 
 bool PeerMembers::AnyHigherRanked(
-    const std::function<bool(const Member&)>& aHolds) const {
-  for (const PeerName& peer : this->order.at(this->own.failureDomain)) {
-    if (peer.name == this->own.name) {
+    const std::function<bool(const Member&)>& aPredicate) const {
+  for (const PeerName& peer : this->order.at(this->self.failureDomain)) {
+    if (peer.name == this->self.name) {
       return false;
     }
-    if (aHolds(this->members.at(peer.name))) {
+    if (aPredicate(this->members.at(peer.name))) {
       return true;
     }
   }
@@ -103,9 +105,9 @@
 }
 
 std::size_t PeerMembers::Rank() const {
-  const auto& near = this->order.at(this->own.failureDomain);
+  const auto& domain = this->order.at(this->self.failureDomain);
   return static_cast<std::size_t>(
-      std::distance(near.begin(), near.find(this->own)));
+      std::distance(domain.begin(), domain.find(this->self)));
 }
 
 bool PeerMembers::IsSameDomain(const Member& aMember) const {
@@ -113,21 +115,21 @@
 }
 
 void PeerMembers::OnRestored() {
-  this->keepsMissingUntil = this->clock.Now() + kReturnTime;
+  this->retainMissingUntil = this->clock.Now() + kRestoreGracePeriod;
 }
 
 void PeerMembers::OnEntries(const ListUpdate& aChanges) {
   if (aChanges.isWhole) {
     std::set<std::string> present;
     for (const StoreItem& item : aChanges.items) {
-      present.insert(DaemonEntry::NameIn(item.key));
+      present.insert(DaemonEntry::NameOf(item.key));
     }
     for (auto& [name, member] : this->members) {
       if (!present.contains(name)) {
         this->SetRevision(member, {});
       }
     }
-    this->isListed = present.contains(this->own.name);
+    this->isListed = present.contains(this->self.name);
   }
   for (const StoreItem& item : aChanges.items) {
     this->ApplyEntry(item);
@@ -135,33 +137,33 @@
   for (const std::string& key : aChanges.removed) {
     this->DropEntry(key);
   }
-  this->ForgetUnlisted();
+  this->ExpireUnlisted();
 }
 
 void PeerMembers::SetRevision(Member& aMember, StoreRevision aRevision) {
   if (this->IsSameDomain(aMember)) {
-    this->listedNear -= aMember.revision.IsNone() ? 0 : 1;
-    this->listedNear += aRevision.IsNone() ? 0 : 1;
+    this->listedInDomain -= aMember.revision.IsNone() ? 0 : 1;
+    this->listedInDomain += aRevision.IsNone() ? 0 : 1;
   }
   aMember.revision = aRevision;
 }
 
 void PeerMembers::DropEntry(const std::string& aKey) {
-  const std::string name = DaemonEntry::NameIn(aKey);
+  const std::string name = DaemonEntry::NameOf(aKey);
   const auto member = this->members.find(name);
   if (member != this->members.end()) {
     this->SetRevision(member->second, {});
   }
-  this->isListed = this->isListed && name != this->own.name;
+  this->isListed = this->isListed && name != this->self.name;
 }
 
 void PeerMembers::ApplyEntry(const StoreItem& aItem) {
-  const auto entry = DaemonEntry::Read(aItem.key, aItem.value);
+  const auto entry = DaemonEntry::Parse(aItem.key, aItem.value);
   if (!entry) {
     this->DropEntry(aItem.key);
     return;
   }
-  if (entry->name == this->own.name) {
+  if (entry->name == this->self.name) {
     this->isListed = true;
     return;
   }
@@ -173,14 +175,15 @@
     this->ApplyEntry(item);
   }
   if (this->isListed) {
-    // The list is from after this domain's last start: all are in it.
+    // This daemon's entry is left from its last run, when all members were
+    // listed.
     this->StartWithoutPeers();
   }
 }
 
 PeerMembers::Member& PeerMembers::Put(const PeerName& aPeer) {
-  const auto [place, isNew] = this->members.try_emplace(aPeer.name);
-  Member& member = place->second;
+  const auto [slot, isNew] = this->members.try_emplace(aPeer.name);
+  Member& member = slot->second;
   const bool isSame = !isNew && member.address == aPeer.address &&
                       member.failureDomain == aPeer.failureDomain &&
                       member.linkMbps == aPeer.linkMbps;
@@ -188,9 +191,9 @@
     return member;
   }
   if (!isNew) {
-    this->Unsort(aPeer.name, member);
+    this->RemoveFromOrder(aPeer.name, member);
   }
-  member = Member{};  // Another process, whatever the last one did.
+  member = Member{};  // Discards the earlier process.
   member.address = aPeer.address;
   member.failureDomain = aPeer.failureDomain;
   member.linkMbps = aPeer.linkMbps;
@@ -199,57 +202,57 @@
   return member;
 }
 
-void PeerMembers::Unsort(const std::string& aName, Member& aMember) {
+void PeerMembers::RemoveFromOrder(const std::string& aName, Member& aMember) {
   this->SetRevision(aMember, {});
-  this->order.at(aMember.failureDomain).erase(NameOf(aName, aMember));
+  this->order.at(aMember.failureDomain).erase(ToPeerName(aName, aMember));
   this->changes += 1;
 }
 
-void PeerMembers::Note(const PeerName& aPeer) {
-  if (aPeer.name != this->own.name) {
+void PeerMembers::RecordLive(const PeerName& aPeer) {
+  if (aPeer.name != this->self.name) {
     this->Put(aPeer).lastSeenAt = this->clock.Now();
   }
 }
 
-void PeerMembers::ForgetUnlisted() {
+void PeerMembers::ExpireUnlisted() {
   const Instant now = this->clock.Now();
-  if (now < this->keepsMissingUntil) {
+  if (now < this->retainMissingUntil) {
     return;
   }
   for (auto entry = this->members.begin(); entry != this->members.end();) {
     Member& member = entry->second;
-    const bool isKept =
-        !member.revision.IsNone() || now - member.lastSeenAt < kUnlistedLife;
-    if (isKept) {
+    const bool isRetained =
+        !member.revision.IsNone() || now - member.lastSeenAt < kUnlistedTtl;
+    if (isRetained) {
       ++entry;
       continue;
     }
-    this->Unsort(entry->first, member);
+    this->RemoveFromOrder(entry->first, member);
     entry = this->members.erase(entry);
   }
 }
 
 void PeerMembers::OnQueryFrom(const PeerName& aRequester) {
-  this->Note(aRequester);
+  this->RecordLive(aRequester);
 }
 
-void PeerMembers::OnPeersDiscovered(const std::vector<PeerName>& aFirst) {
+void PeerMembers::OnPeersDiscovered(const std::vector<PeerName>& aMembers) {
   if (!this->discoveredAt) {
     this->discoveredAt = this->clock.Now();
   }
-  for (const PeerName& peer : aFirst) {
-    this->Note(peer);
+  for (const PeerName& peer : aMembers) {
+    this->RecordLive(peer);
   }
 }
 
 std::vector<std::string> PeerMembers::DomainPeerAddresses() const {
-  std::vector<std::string> near;
+  std::vector<std::string> addresses;
   for (const auto& [name, member] : this->members) {
     if (this->IsSameDomain(member)) {
-      near.push_back(member.address);
+      addresses.push_back(member.address);
     }
   }
-  return near;
+  return addresses;
 }
 
 bool PeerMembers::HasSyncSource() const {
@@ -259,110 +262,112 @@
 
 bool PeerMembers::HasFreshSyncSource() const {
   const Instant now = this->clock.Now();
-  const Micros longest = MaxSyncStaleness(this->settings);
-  // Whoever told last holds until the next one has read the store.
+  const Micros maxStaleness = MaxSyncStaleness(this->settings);
+  // The last sync source counts until the next one has read the store.
   return this->HasSyncSource() &&
          this->AnyHigherRanked([&](const Member& aCandidate) {
-           return now - aCandidate.toldFreshAt <= longest;
+           return now - aCandidate.freshListsAt <= maxStaleness;
          });
 }
 
 bool PeerMembers::MayQueryStore() const {
   const Instant now = this->clock.Now();
-  if (this->isListed && this->listedNear < kFewDaemons) {
+  if (this->isListed && this->listedInDomain < kMaxDirectReaders) {
     return true;
   }
   if (this->HasSyncSource()) {
-    const Micros isolatedAfter =
-        kIsolatedAfter + this->isolationTimeout - kShortestLoneliness;
-    return now - this->answeredAt >= isolatedAfter;
+    const Micros timeout =
+        kNoResponseTimeout + this->isolationTimeout - kMinIsolationTimeout;
+    return now - this->lastResponseAt >= timeout;
   }
-  return this->discoveredAt ? now - *this->discoveredAt >= kSettleTime
+  return this->discoveredAt ? now - *this->discoveredAt >= kSettleDelay
                             : now - this->startedAt >= this->isolationTimeout;
 }
 
-bool PeerMembers::IsUnusableSource(std::size_t aPlace, const Member& aCandidate,
+bool PeerMembers::IsUnusableSource(std::size_t aRank, const Member& aCandidate,
                                    int aMaxUnanswered) const {
-  // While a start gives it more questions, it has to read the lists first.
-  const int mostStale = aPlace < kQuicklyPassed
-                            ? std::max(kMostStale, aMaxUnanswered)
-                            : kMostStaleLater;
+  // A member that is granted more queries during a start has to read the lists
+  // before it can send them.
+  const int maxStale = aRank < kQuickSkipRanks
+                           ? std::max(kMaxStale, aMaxUnanswered)
+                           : kMaxStaleLowRank;
   return aCandidate.unanswered >= aMaxUnanswered ||
-         aCandidate.stale >= mostStale;
+         aCandidate.stale >= maxStale;
 }
 
 std::vector<std::string> PeerMembers::NextSyncSources(int aMaxUnanswered) {
   const Instant now = this->clock.Now();
-  if (now >= this->nextForgetting) {
-    this->nextForgetting = now + kForgettingPause;
-    this->ForgetUnlisted();
+  if (now >= this->nextExpiry) {
+    this->nextExpiry = now + kExpiryInterval;
+    this->ExpireUnlisted();
   }
-  std::vector<std::string> asked;
-  std::size_t place = 0;
-  for (Member* senior : this->HigherRanked()) {
-    Member& member = *senior;
+  std::vector<std::string> addresses;
+  std::size_t rank = 0;
+  for (Member* candidate : this->HigherRanked()) {
+    Member& member = *candidate;
     if (!member.isSkipped &&
-        this->IsUnusableSource(place, member, aMaxUnanswered)) {
+        this->IsUnusableSource(rank, member, aMaxUnanswered)) {
       LogInfo("peer_passed_over", {{"peer", member.address},
                                    {"unanswered", member.unanswered},
                                    {"stale", member.stale}});
       member.isSkipped = true;
-      member.askAgainAt = now + kPassedOverPause;
+      member.retryAt = now + kSkipRetryInterval;
     }
     if (!member.isSkipped) {
       member.unanswered += 1;
-      asked.push_back(member.address);
-      return asked;
+      addresses.push_back(member.address);
+      return addresses;
     }
-    // One at a time: where none is fresh, hundreds would be asked each time.
-    if (now >= member.askAgainAt && asked.empty()) {
-      member.askAgainAt = now + kPassedOverPause;
-      asked.push_back(member.address);
+    // One at a time: without any fresh member, hundreds would be queried each
+    // time.
+    if (now >= member.retryAt && addresses.empty()) {
+      member.retryAt = now + kSkipRetryInterval;
+      addresses.push_back(member.address);
     }
-    place += 1;
+    rank += 1;
   }
-  return asked;
+  return addresses;
 }
 
-void PeerMembers::OnAnswer(const std::string& aAddress,
-                           std::optional<Micros> aListsAge) {
-  const std::vector<Member*> seniors = this->HigherRanked();
-  const auto found = std::find_if(seniors.begin(), seniors.end(),
+void PeerMembers::OnResponse(const std::string& aAddress,
+                             std::optional<Micros> aListsAge) {
+  const std::vector<Member*> higherRanked = this->HigherRanked();
+  const auto found = std::find_if(higherRanked.begin(), higherRanked.end(),
                                   [&](const Member* aCandidate) {
                                     return aCandidate->address == aAddress;
                                   });
-  if (found == seniors.end()) {
+  if (found == higherRanked.end()) {
     return;
   }
   Member& member = **found;
   const Instant now = this->clock.Now();
-  this->answeredAt = now;
+  this->lastResponseAt = now;
   member.unanswered = 0;
-  if (aListsAge && *aListsAge <= kFreshLists) {
+  if (aListsAge && *aListsAge <= kMaxFreshListsAge) {
     member.stale = 0;
     member.isSkipped = false;
-    member.toldFreshAt = now;
+    member.freshListsAt = now;
   } else {
     member.stale += 1;
   }
 }
 
-std::vector<PeerName> PeerMembers::FirstOf(
+std::vector<PeerName> PeerMembers::HighestRanked(
     const std::string& aFailureDomain, const std::string& aRequester) const {
-  std::vector<PeerName> named;
+  std::vector<PeerName> peers;
   const auto found = this->order.find(aFailureDomain);
   if (found == this->order.end()) {
-    return named;
+    return peers;
   }
   for (const PeerName& peer : found->second) {
-    if (named.size() == kNamed) {
+    if (peers.size() == kMaxDiscovered) {
       break;
     }
     if (peer.name != aRequester) {
-      named.push_back(peer);
+      peers.push_back(peer);
     }
   }
-  return named;
+  return peers;
 }
 
 }  // namespace zincstep
--- a/Zincstep/Edge/PeerMembers.h
+++ b/Zincstep/Edge/PeerMembers.h
@@ -13,141 +13,148 @@
 
 namespace zincstep {
 
-/// The other edge daemons that are known, and which of them tells this one what
-/// the store holds: the first of its failure domain that answers with fresh
-/// lists, so that the store does not have to answer all.
+/// Tracks the other edge daemons and selects the sync source of this one: the
+/// highest-ranked daemon of its failure domain that responds with fresh lists,
+/// so that not every daemon reads the store.
 ///
-/// Daemons with a larger link come first, as the first tells all others; then
-/// those with the lower name.
+/// Daemons with a faster link rank higher, as the highest-ranked one sends to
+/// all others; then those with the lower name.
 class PeerMembers {
  public:
   struct Member {
     std::string address;
     std::string failureDomain;
     double linkMbps = 0;
-    /// Of its entry; none: it has no entry yet that is known here.
+    /// Revision of its entry; none if no entry is known.
     StoreRevision revision;
-    /// When a peer named it, or it asked this one itself.
+    /// When a peer last named it, or it last queried this daemon.
     Instant lastSeenAt{};
-    /// Questions in a row that it has not answered.
+    /// Consecutive queries without a response.
     int unanswered = 0;
-    /// Answers in a row without fresh lists.
+    /// Consecutive responses without fresh lists.
     int stale = 0;
-    /// It does not answer, or knows nothing fresh: the next one tells instead.
+    /// Whether it does not respond or has no fresh lists, so that the next
+    /// member is queried instead.
     bool isSkipped = false;
-    Instant askAgainAt{};
-    /// When it last told lists that were up to the store.
-    Instant toldFreshAt{};
+    Instant retryAt{};
+    /// When it last sent lists that were up to date with the store.
+    Instant freshListsAt{};
   };
 
   PeerMembers(const EdgeSettings& aSettings, const Clock& aClock);
 
-  /// So many questions in a row without an answer: the member has ended, or is
-  /// cut off, and the next one is asked.
+  /// Consecutive queries without a response after which a member counts as
+  /// stopped or partitioned and the next one is queried.
   static constexpr int kMaxUnanswered = 3;
 
-  /// There is nobody to hear of: this daemon need not wait for peers.
+  /// Skips the wait for peers; there are none to discover.
   void StartWithoutPeers();
-  /// Takes what has changed of the daemons' entries in the store.
+  /// Applies an update, full or incremental, of the daemons' entries in the
+  /// store.
   void OnEntries(const ListUpdate& aChanges);
-  /// Takes entries of this failure domain's daemons as they were lately, at the
-  /// start.
+  /// Applies entries of this failure domain's daemons that were read at the
+  /// start and may be stale.
   void OnBootstrapEntries(const std::vector<StoreItem>& aItems);
-  /// A peer that is alive: it has asked this one.
+  /// Records a peer that is alive because it has queried this daemon.
   void OnQueryFrom(const PeerName& aRequester);
-  /// A peer names the first daemons of this failure domain that it knows of;
-  /// none where it knows only this one.
-  void OnPeersDiscovered(const std::vector<PeerName>& aFirst);
-  /// The store has come back from a copy, which lacks some of the daemons.
+  /// Applies the highest-ranked daemons of this failure domain as a peer knows
+  /// them; empty if it knows only this one.
+  void OnPeersDiscovered(const std::vector<PeerName>& aMembers);
+  /// Retains missing members for a while after the store was restored from a
+  /// backup, which lacks some of them.
   void OnRestored();
-  /// By name.
+  /// Members by name.
   const std::map<std::string, Member>& All() const { return this->members; }
-  /// Rises with each member that comes or goes.
+  /// Increases whenever a member is added or removed.
   std::uint64_t Changes() const { return this->changes; }
-  /// Whether a member is of this failure domain, whose upstreams it shares
-  /// most.
+  /// Returns whether a member is of this failure domain, whose daemons share
+  /// most of their upstreams.
   bool IsSameDomain(const Member& aMember) const;
-  /// Addresses of this failure domain's other members.
+  /// Addresses of the other members of this failure domain.
   std::vector<std::string> DomainPeerAddresses() const;
 
-  /// How many members of this failure domain come before this one.
+  /// Returns how many members of this failure domain rank higher than this
+  /// daemon.
   std::size_t Rank() const;
-  /// Whether another member tells this one what the store holds. Where there is
-  /// none, this one asks the store.
+  /// Returns whether this daemon syncs from another member. If not, it reads
+  /// the store itself.
   bool HasSyncSource() const;
-  /// Whether a teller has told fresh lists lately.
+  /// Returns whether a sync source has recently sent fresh lists.
   bool HasFreshSyncSource() const;
-  /// Whether it is known who is there, as far as peers or the store tell.
+  /// Returns whether peers or the store have named the other daemons.
   bool HasDiscoveredPeers() const {
     return this->discoveredAt.has_value() || this->Rank() > 0;
   }
-  /// Whether this daemon may ask the store where it cannot rely on a teller.
-  /// One of few may; of many only who knows of nobody before it that is of use,
-  /// or is answered by nobody.
+  /// Returns whether this daemon may read the store if it has no fresh sync
+  /// source. In a small domain every daemon may; in a large one only a daemon
+  /// that has no usable higher-ranked member or gets no response from any.
   bool MayQueryStore() const;
-  /// Whether this daemon asks the store for its failure domain.
+  /// Returns whether this daemon reads the store for its failure domain.
   bool IsDomainLeader() const {
     return !this->HasSyncSource() && this->MayQueryStore();
   }
-  /// Addresses to ask for what is new: of the teller, and of one that was
-  /// passed over and is to be tried again. Each address counts as asked; one
-  /// that has left `aMaxUnanswered` questions in a row is passed over, and so
-  /// is one that knows nothing fresh.
+  /// Returns the addresses to query for updates: that of the sync source and
+  /// that of one skipped member that is due for a retry. Each address counts as
+  /// queried. Skips members that have left `aMaxUnanswered` consecutive queries
+  /// unanswered or have no fresh lists.
   std::vector<std::string> NextSyncSources(int aMaxUnanswered = kMaxUnanswered);
-  /// A member has answered; `aListsAge` is the age of what it told, if it did.
-  void OnAnswer(const std::string& aAddress, std::optional<Micros> aListsAge);
-  /// The first daemons of a failure domain that are known here, this one
-  /// included, without `aRequester`.
-  std::vector<PeerName> FirstOf(const std::string& aFailureDomain,
-                                const std::string& aRequester) const;
+  /// Records a response; `aListsAge` is the age of its lists, none if it had no
+  /// lists.
+  void OnResponse(const std::string& aAddress, std::optional<Micros> aListsAge);
+  /// Returns the highest-ranked known daemons of a failure domain, including
+  /// this one but not `aRequester`.
+  std::vector<PeerName> HighestRanked(const std::string& aFailureDomain,
+                                      const std::string& aRequester) const;
 
  private:
-  /// Whether one daemon comes before another.
+  /// Orders daemons by rank, highest first.
   struct Precedence {
     bool operator()(const PeerName& aOne, const PeerName& aOther) const;
   };
 
-  static PeerName NameOf(const std::string& aName, const Member& aMember);
-  /// This failure domain's members that come before this one, in order.
+  static PeerName ToPeerName(const std::string& aName, const Member& aMember);
+  /// Higher-ranked members of this failure domain, in order.
   std::vector<Member*> HigherRanked();
-  bool AnyHigherRanked(const std::function<bool(const Member&)>& aHolds) const;
+  bool AnyHigherRanked(
+      const std::function<bool(const Member&)>& aPredicate) const;
   void SetRevision(Member& aMember, StoreRevision aRevision);
-  /// A member is about to be another one, or to go.
-  void Unsort(const std::string& aName, Member& aMember);
-  /// A member as it names itself; what is known of an earlier process at its
-  /// VM is forgotten.
+  /// Removes a member from the order before it is replaced or removed.
+  void RemoveFromOrder(const std::string& aName, Member& aMember);
+  /// Adds or replaces a member. Discards the state of an earlier process on the
+  /// same VM.
   Member& Put(const PeerName& aPeer);
   void ApplyEntry(const StoreItem& aItem);
-  /// A daemon has no entry any more, or none that can be read.
+  /// Applies that a daemon has no valid entry any more.
   void DropEntry(const std::string& aKey);
-  /// Takes a peer that need not have an entry yet.
-  void Note(const PeerName& aPeer);
-  /// Forgets peers without an entry that have not been heard of for a while.
-  void ForgetUnlisted();
-  /// Whether the senior at that place is of no use as a teller.
-  bool IsUnusableSource(std::size_t aPlace, const Member& aCandidate,
+  /// Records a live peer, which need not have an entry yet.
+  void RecordLive(const PeerName& aPeer);
+  /// Removes peers without an entry that were not seen alive for a while.
+  void ExpireUnlisted();
+  /// Whether the higher-ranked member at that rank cannot serve as a sync
+  /// source.
+  bool IsUnusableSource(std::size_t aRank, const Member& aCandidate,
                         int aMaxUnanswered) const;
 
   const EdgeSettings& settings;
   const Clock& clock;
-  PeerName own;
+  PeerName self;
   Instant startedAt;
-  /// How long after that it begins by itself where nobody has answered, apart
-  /// from daemons that started with it.
+  /// Time after the start at which this daemon reads the store if nobody has
+  /// responded; jittered among daemons that start together.
   Micros isolationTimeout{0};
   std::map<std::string, Member> members;
-  /// All daemons by failure domain, this one included, in order.
+  /// All daemons by failure domain, including this one, in order of rank.
   std::map<std::string, std::set<PeerName, Precedence>> order;
-  /// Whether the daemons' list holds this one, and how many others of its
-  /// failure domain.
+  /// Whether this daemon is in the store's list, and how many other daemons of
+  /// its failure domain are.
   bool isListed = false;
-  std::size_t listedNear = 0;
-  /// When a peer or the store first told who is there.
+  std::size_t listedInDomain = 0;
+  /// When a peer or the store first named the other daemons.
   std::optional<Instant> discoveredAt;
-  /// When a senior last answered, whatever it knew.
-  Instant answeredAt{};
-  Instant keepsMissingUntil{};
-  Instant nextForgetting{};
+  /// When a higher-ranked member last responded, with fresh lists or not.
+  Instant lastResponseAt{};
+  Instant retainMissingUntil{};
+  Instant nextExpiry{};
   std::uint64_t changes = 0;
 };
 
--- a/Zincstep/Edge/PeerName.h
+++ b/Zincstep/Edge/PeerName.h
@@ -4,13 +4,13 @@
 
 namespace zincstep {
 
-/// How one daemon names another, or itself.
+/// Name, address and location of a daemon.
 struct PeerName {
   std::string name;
-  /// Where it listens for other daemons.
+  /// host:port where it listens for other daemons.
   std::string address;
   std::string failureDomain;
-  /// Its VM's link, in Mbit/s; 0: it does not tell.
+  /// Link of its VM, in Mbit/s; 0 if unknown.
   double linkMbps = 0;
 };
 
--- a/Zincstep/Edge/PeerProtocol.cpp
+++ b/Zincstep/Edge/PeerProtocol.cpp
@@ -9,68 +9,71 @@
 
 namespace {
 
-/// Work in flight lasts some seconds; told twice a second it is known to a
-/// fraction of that.
-constexpr Micros kGossipPause = 400ms;
-/// Messages of work that a daemon takes a second at most: each costs some 30 us
-/// with its way in, so this is 0.3% of a core. Where more daemons share a
-/// failure domain they tell their work less often, and each has a smaller part.
-constexpr double kWorkMessages = 100;
-/// Between two tellings of what this daemon's callers need: traffic rises and
-/// falls within some seconds.
-constexpr Micros kDemandPause = 1s;
-/// Pauses after which a daemon that has told nothing has ended or is cut off.
-constexpr int kMissedTellings = 4;
-/// Peers are asked once the own proof is older than this: two proofs that
-/// should have come have not.
-constexpr Micros kOwnProofAge = 1300ms;
-constexpr Micros kQuestionPause = 400ms;
-/// The same for a daemon that has just started and knows nothing yet.
-constexpr Micros kFirstQuestionPause = 100ms;
-/// Questions that a daemon which has just started leaves to a teller that may
-/// have started with it, and has to read the lists first.
-constexpr int kMostUnansweredAtStart = 10;
-/// A daemon that has just started has the configuration from the store, which
-/// is closer than a peer of another failure domain, unless that takes longer
-/// than this.
-constexpr Micros kStorePatience = 400ms;
-/// Time for the answer that tells of all upstreams; nobody else is asked for
-/// them until then. A hundred entries take some milliseconds; who has too many
-/// askers says so at once.
-constexpr Micros kAllPatience = 200ms;
-/// For so long a daemon that starts asks those of its own failure domain alone.
-constexpr Micros kNearPatience = 200ms;
-/// Stands for any version of the configuration: it is not to be told.
-constexpr std::uint64_t kNoVersionWanted =
+/// Minimum interval between messages with this daemon's work. Work in flight
+/// lasts some seconds, so twice per second is precise enough.
+constexpr Micros kGossipInterval = 400ms;
+/// Maximum rate at which a daemon receives work messages, per second. Each
+/// costs some 30 us including reception, so this is 0.3% of a core. In larger
+/// failure domains each daemon sends less often, and has a smaller share of the
+/// work.
+constexpr double kMaxWorkMessageRate = 100;
+/// Interval between reports of this daemon's demand: traffic rises and falls
+/// within some seconds.
+constexpr Micros kDemandInterval = 1s;
+/// Intervals without a work message after which a daemon counts as stopped or
+/// partitioned.
+constexpr int kMaxMissedIntervals = 4;
+/// Validation age above which peers are queried: two validations are overdue.
+constexpr Micros kMaxOwnValidationAge = 1300ms;
+constexpr Micros kQueryInterval = 400ms;
+/// Interval between queries of a daemon that has just started and has no lists
+/// yet.
+constexpr Micros kStartQueryInterval = 100ms;
+/// Consecutive unanswered queries that a starting daemon allows its sync
+/// source, which may have started with it and has to read the lists first.
+constexpr int kMaxUnansweredAtStart = 10;
+/// Time that a starting daemon waits for the configuration from the store,
+/// which is closer than a peer of another failure domain.
+constexpr Micros kStoreConfigTimeout = 400ms;
+/// Timeout of a query for the full list of upstreams; no other peer is queried
+/// for it until then. A hundred entries take some milliseconds, and an
+/// overloaded peer says so at once.
+constexpr Micros kFullListTimeout = 200ms;
+/// Time for which a starting daemon queries only its own failure domain.
+constexpr Micros kSameDomainPeriod = 200ms;
+/// Requests no configuration, whatever its version.
+constexpr std::uint64_t kNoVersionRequested =
     std::numeric_limits<std::uint64_t>::max();
-constexpr KnownRevisions kNothingWanted{kNotWanted, kNotWanted, kNotWanted,
-                                        kNoVersionWanted};
-/// Peers that are asked at once.
-constexpr std::size_t kAskedAtOnce = 2;
-/// Up to so many members all are told of each other's work; beyond, those
-/// of the own failure domain, whose upstreams they share most.
-constexpr std::size_t kFewMembers = 16;
-/// The domain's first daemon is asked for its proofs this often: with the
-/// time between its proofs and one answer that is lost, what it tells stays
-/// under the age at which it is not relied on any more.
-constexpr Micros kReliancePause = 250ms;
-/// Number of no question: what comes with it is a hint of a newer
-/// configuration, without its text.
-constexpr std::uint64_t kUnasked = 0;
-/// Between hints that are followed up: several may come of one configuration.
-constexpr Micros kHintPause = 100ms;
-/// Longest pause before a peer is connected to again: half the age at which
-/// a proof that comes through it would be missed.
-constexpr Micros kLongestReconnect = 800ms;
+constexpr KnownRevisions kNothingRequested{kNotRequested, kNotRequested,
+                                           kNotRequested, kNoVersionRequested};
+/// Number of peers queried at once.
+constexpr std::size_t kParallelQueries = 2;
+/// Up to this many members, work is sent to all of them; above it, only to the
+/// same failure domain, whose daemons share most of their upstreams.
+constexpr std::size_t kMaxFullGossipMembers = 16;
+/// Interval between queries to the sync source. Together with the interval
+/// between its validations and one lost response, its reports stay below the
+/// maximum staleness.
+constexpr Micros kSyncInterval = 250ms;
+/// Query id of unsolicited messages, which are hints of a newer configuration
+/// without its text.
+constexpr std::uint64_t kUnsolicited = 0;
+/// Minimum interval between hints that are followed up: one configuration may
+/// cause several.
+constexpr Micros kHintInterval = 100ms;
+/// Maximum backoff before a peer is reconnected: half the age at which a
+/// validation through it would be missed.
+constexpr Micros kMaxReconnectBackoff = 800ms;
 constexpr double kBytesPerMb = 1 << 20;
-/// Shares of the VM's memory for messages that wait for peers, and for such as
-/// have come and wait to be read: what requests need is many times that.
-constexpr double kSendingShare = 0.05;
-constexpr double kReceivingShare = 0.05;
-/// A question that was not answered by then is forgotten.
-constexpr Micros kQuestionLife = 5s;
-
-/// The seeds' hosts with the port on which daemons speak here.
+/// Shares of the VM's memory for messages queued for sending and for received
+/// messages that are not parsed yet: requests need many times that.
+constexpr double kSendBufferShare = 0.05;
+constexpr double kReceiveBufferShare = 0.05;
+/// Timeout of a pending query.
+constexpr Micros kQueryTimeout = 5s;
+
+/// Returns the seeds' hosts with the port at which daemons listen for each
+/// other.
 std::vector<std::string> SeedPeers(const EdgeSettings& aSettings) {
   const std::string& own = aSettings.peerListen;
   const std::string port = own.substr(own.rfind(':'));
@@ -93,7 +96,7 @@
                            Random& aRandom, Metrics& aMetrics,
                            StoreEraTracker& aEras, OnPeerSuspicion aOnSuspicion,
                            OnPeerCrashes aOnCrashes, OnPeerLimits aOnLimits,
-                           OwnDemand aOwnDemand)
+                           LocalDemand aLocalDemand)
     : loop(aLoop),
       settings(aSettings),
       view(aView),
@@ -102,28 +105,28 @@
       onSuspicion(std::move(aOnSuspicion)),
       onCrashes(std::move(aOnCrashes)),
       onLimits(std::move(aOnLimits)),
-      ownDemand(std::move(aOwnDemand)),
+      localDemand(std::move(aLocalDemand)),
       eras(aEras),
       bytes(aMetrics),
-      entries(aSettings, aStore, aClock),
-      answers(aView, aClock, aSettings.linkMbps),
+      registrar(aSettings, aStore, aClock),
+      responder(aView, aClock, aSettings.linkMbps),
       members(aSettings, aClock),
       seeds(SeedPeers(aSettings)),
       startedAt(aClock.Now()) {
   if (this->seeds.empty()) {
     this->members.StartWithoutPeers();
   }
-  PeerTransportSettings hubSettings;
-  hubSettings.listen = aSettings.peerListen;
-  hubSettings.seed = Hash64(aSettings.name);
-  hubSettings.maxReconnectBackoff = kLongestReconnect;
+  PeerTransportSettings transportSettings;
+  transportSettings.listen = aSettings.peerListen;
+  transportSettings.seed = Hash64(aSettings.name);
+  transportSettings.maxReconnectBackoff = kMaxReconnectBackoff;
   const double memory = aSettings.memoryMb * kBytesPerMb;
-  hubSettings.maxTotalQueuedBytes =
-      static_cast<std::size_t>(memory * kSendingShare);
-  hubSettings.maxQueuedBytes = hubSettings.maxTotalQueuedBytes;
-  hubSettings.maxUnconsumedBytes =
-      static_cast<std::size_t>(memory * kReceivingShare);
-  this->transport = MakePeerTransport(hubSettings, *this);
+  transportSettings.maxTotalQueuedBytes =
+      static_cast<std::size_t>(memory * kSendBufferShare);
+  transportSettings.maxQueuedBytes = transportSettings.maxTotalQueuedBytes;
+  transportSettings.maxUnconsumedBytes =
+      static_cast<std::size_t>(memory * kReceiveBufferShare);
+  this->transport = MakePeerTransport(transportSettings, *this);
 }
 
 Result<void> PeerProtocol::Start() { return this->transport->Start(); }
@@ -131,7 +134,7 @@
 void PeerProtocol::Stop() { this->transport->Stop(); }
 
 void PeerProtocol::OnPeerData(std::string aMessage) {
-  // Comes on the hub's thread; all beliefs belong to the loop's.
+  // Runs on the transport's thread; all state belongs to the loop's thread.
   asio::post(this->loop, [this, text = std::move(aMessage)] {
     this->transport->OnTaken(text.size());
     const auto message = ReadEdgePeerMessage(text);
@@ -147,36 +150,38 @@
 void PeerProtocol::OnMessage(const EdgePeerMessage& aMessage) {
   if (const auto* gossip = std::get_if<WorkGossip>(&aMessage.body)) {
     this->OnGossip(aMessage.sender, *gossip);
-  } else if (const auto* told = std::get_if<DemandGossip>(&aMessage.body)) {
-    this->demand.Tell(aMessage.sender, told->tokens, this->clock.Now());
+  } else if (const auto* demand = std::get_if<DemandGossip>(&aMessage.body)) {
+    this->demand.Tell(aMessage.sender, demand->tokens, this->clock.Now());
   } else if (const auto* crashes = std::get_if<CrashGossip>(&aMessage.body)) {
     this->onCrashes(*crashes, aMessage.replyTo);
   } else if (const auto* limits = std::get_if<LimitGossip>(&aMessage.body)) {
     this->onLimits(*limits, aMessage.sender, aMessage.replyTo);
-  } else if (const auto* want = std::get_if<ClusterWant>(&aMessage.body)) {
-    this->eras.OnTold(want->era);
-    this->OnWant(aMessage.sender, aMessage.replyTo, *want);
-  } else if (const auto* give = std::get_if<ClusterGive>(&aMessage.body)) {
-    this->eras.OnTold(give->era);
-    give->question == kUnasked ? this->OnHint(aMessage.replyTo, give->copy)
-                               : this->OnGive(*give);
+  } else if (const auto* query = std::get_if<ClusterQuery>(&aMessage.body)) {
+    this->eras.OnTold(query->era);
+    this->OnQuery(aMessage.sender, aMessage.replyTo, *query);
+  } else if (const auto* response =
+                 std::get_if<ClusterResponse>(&aMessage.body)) {
+    this->eras.OnTold(response->era);
+    response->queryId == kUnsolicited
+        ? this->OnHint(aMessage.replyTo, response->update)
+        : this->OnResponse(*response);
   }
 }
 
 void PeerProtocol::OnRestored() {
-  // What was asked for before would be answered in revisions of another era.
-  this->questions.clear();
-  this->entries.OnRestored(this->random);
+  // Responses to these queries would have revisions of an earlier era.
+  this->pendingQueries.clear();
+  this->registrar.OnRestored(this->random);
   this->members.OnRestored();
   this->nextSyncQuery = {};
 }
 
 PeerFrame PeerProtocol::Hint() const {
-  ClusterGive hint;
+  ClusterResponse hint;
   hint.era = this->Era();
-  hint.question = kUnasked;
-  hint.copy = this->view.UpdateFor(kNothingWanted);
-  return this->Write(std::move(hint));
+  hint.queryId = kUnsolicited;
+  hint.update = this->view.UpdateFor(kNothingRequested);
+  return this->Encode(std::move(hint));
 }
 
 void PeerProtocol::OnGossip(const std::string& aSender,
@@ -193,8 +198,8 @@
     if (work.work > 0) {
       shares.push_back({upstream, work.work});
     }
-    if (work.pace > 1 && upstream->Slowdown(now) <= 1) {
-      upstream->SetSlowdown(work.pace, now, Provenance::Told);
+    if (work.slowdown > 1 && upstream->Slowdown(now) <= 1) {
+      upstream->SetSlowdown(work.slowdown, now, Provenance::Told);
     }
     if (work.isSuspect && !upstream->IsSuspect(now)) {
       this->onSuspicion(upstream);
@@ -203,26 +208,28 @@
   this->work.Tell(aSender, std::move(shares), now);
 }
 
-void PeerProtocol::OnWant(const std::string& aSender,
-                          const std::string& aAddress,
-                          const ClusterWant& aWant) {
-  const PeerName asker{aSender, aAddress, aWant.failureDomain, aWant.linkMbps};
-  if (aWant.wantsEntry) {
-    this->members.OnQueryFrom(asker);
-    this->entries.OnQueryFrom(asker);
+void PeerProtocol::OnQuery(const std::string& aSender,
+                           const std::string& aAddress,
+                           const ClusterQuery& aQuery) {
+  const PeerName requester{aSender, aAddress, aQuery.failureDomain,
+                           aQuery.linkMbps};
+  if (aQuery.needsEntry) {
+    this->members.OnQueryFrom(requester);
+    this->registrar.OnQueryFrom(requester);
   }
-  ClusterGive give = this->answers.To(aWant, this->Era());
-  if (aWant.wantsNames) {
-    give.names = this->members.FirstOf(aWant.failureDomain, aSender);
+  ClusterResponse response = this->responder.Respond(aQuery, this->Era());
+  if (aQuery.requestsMembers) {
+    response.members =
+        this->members.HighestRanked(aQuery.failureDomain, aSender);
   }
-  this->Send(aAddress, std::move(give));
+  this->Send(aAddress, std::move(response));
 }
 
 void PeerProtocol::GossipSoon() {
   if (this->isGossipDue) {
     return;
   }
-  // One message for all that is found in this turn of the loop.
+  // One message for everything found in this turn of the loop.
   this->isGossipDue = true;
   asio::post(this->loop, [this] {
     this->isGossipDue = false;
@@ -230,40 +237,40 @@
   });
 }
 
-void PeerProtocol::OnGive(const ClusterGive& aGive) {
-  const auto asked = this->questions.find(aGive.question);
-  if (asked == this->questions.end()) {
+void PeerProtocol::OnResponse(const ClusterResponse& aResponse) {
+  const auto found = this->pendingQueries.find(aResponse.queryId);
+  if (found == this->pendingQueries.end()) {
     return;
   }
-  const Question question = asked->second;
-  this->questions.erase(asked);
-  if (aGive.era < this->Era()) {
-    return;  // It hears of the era by the next question.
+  const PendingQuery pending = found->second;
+  this->pendingQueries.erase(found);
+  if (aResponse.era < this->Era()) {
+    return;  // The next query informs it of the era.
   }
-  this->members.OnAnswer(question.address, aGive.copy.listsAge);
-  if (question.wantsNames) {
-    this->OnNames(aGive.names);
+  this->members.OnResponse(pending.address, aResponse.update.listsAge);
+  if (pending.requestsMembers) {
+    this->OnMembersNamed(aResponse.members);
     return;
   }
-  ClusterUpdate copy = aGive.copy;
-  if (!question.wantsUpstreams) {
-    copy.listsAge.reset();
+  ClusterUpdate update = aResponse.update;
+  if (!pending.requestsUpstreams) {
+    update.listsAge.reset();
   }
-  this->CompareVersions(question.address, copy);
-  const bool knewNobody = this->members.All().empty();
-  this->view.OnUpdate(copy, question.askedAt);
-  if (knewNobody && !this->members.All().empty() && this->IsNew()) {
-    this->AskPeers(this->clock.Now());
+  this->CompareVersions(pending.address, update);
+  const bool hadNoMembers = this->members.All().empty();
+  this->view.OnUpdate(update, pending.sentAt);
+  if (hadNoMembers && !this->members.All().empty() && this->IsStarting()) {
+    this->QueryPeers(this->clock.Now());
   }
 }
 
-void PeerProtocol::OnNames(std::vector<PeerName> aNames) {
-  const bool hadTeller = this->members.HasSyncSource();
+void PeerProtocol::OnMembersNamed(std::vector<PeerName> aNames) {
+  const bool hadSyncSource = this->members.HasSyncSource();
   for (PeerName& peer : aNames) {
     peer.failureDomain = this->settings.failureDomain;
   }
   this->members.OnPeersDiscovered(aNames);
-  if (!hadTeller && this->members.HasSyncSource()) {
+  if (!hadSyncSource && this->members.HasSyncSource()) {
     this->QuerySyncSources(this->clock.Now());
   }
 }
@@ -274,90 +281,95 @@
 }
 
 void PeerProtocol::CompareVersions(const std::string& aAddress,
-                                   const ClusterUpdate& aCopy) {
+                                   const ClusterUpdate& aUpdate) {
   const std::uint64_t own = this->view.ConfigVersion();
-  const bool lacksText = aCopy.configVersion > own && aCopy.configText.empty();
+  const bool lacksText =
+      aUpdate.configVersion > own && aUpdate.configText.empty();
   if (lacksText) {
-    this->Ask(aAddress, this->clock.Now(), Wanted::Configuration);
+    this->Query(aAddress, this->clock.Now(), QueryScope::Configuration);
     return;
   }
-  if (aCopy.configVersion != 0 && aCopy.configVersion < own) {
-    // The store's copy has lost what is in force here.
-    this->SendText(aAddress, PeerMessageKind::Give, this->Hint());
+  if (aUpdate.configVersion != 0 && aUpdate.configVersion < own) {
+    // The peer follows a store that has lost the version active here.
+    this->SendFrame(aAddress, PeerMessageKind::Response, this->Hint());
   }
   this->view.OnPeersAnswered();
 }
 
 void PeerProtocol::OnHint(const std::string& aAddress,
-                          const ClusterUpdate& aCopy) {
+                          const ClusterUpdate& aUpdate) {
   const Instant now = this->clock.Now();
-  const bool isNews = aCopy.configRevision > this->view.ConfigStoreRevision() ||
-                      aCopy.configVersion > this->view.ConfigVersion();
-  if (isNews && now >= this->nextHintTaken) {
-    this->nextHintTaken = now + kHintPause;
-    this->Ask(aAddress, now, Wanted::Configuration);
+  const bool isNewer =
+      aUpdate.configRevision > this->view.ConfigStoreRevision() ||
+      aUpdate.configVersion > this->view.ConfigVersion();
+  if (isNewer && now >= this->nextHintAt) {
+    this->nextHintAt = now + kHintInterval;
+    this->Query(aAddress, now, QueryScope::Configuration);
   }
 }
 
 void PeerProtocol::OnDaemonEntries(const std::string& aPlacementLeader) {
   this->placementLeader = aPlacementLeader;
-  this->entries.OnEntries(this->view.Daemons().Items());
+  this->registrar.OnEntries(this->view.Daemons().Items());
   const ItemList& daemons = this->view.Daemons().List();
-  this->members.OnEntries(daemons.UpdateSince(this->entriesAt));
-  this->entriesAt = daemons.At();
+  this->members.OnEntries(daemons.UpdateSince(this->entriesRevision));
+  this->entriesRevision = daemons.At();
 }
 
-bool PeerProtocol::IsNew() const { return !this->view.ListsAge(); }
+bool PeerProtocol::IsStarting() const { return !this->view.ListsAge(); }
 
 void PeerProtocol::Tick() {
   const Instant now = this->clock.Now();
   this->bytes.Tick(now);
-  this->work.Tick(now, kMissedTellings * this->GossipPause());
-  this->entries.Keep(this->members.IsDomainLeader());
+  this->work.Tick(now, kMaxMissedIntervals * this->GossipInterval());
+  this->registrar.Tick(this->members.IsDomainLeader());
   if (now >= this->nextGossip) {
-    this->nextGossip = now + this->GossipPause();
+    this->nextGossip = now + this->GossipInterval();
     this->Gossip();
   }
   if (now >= this->nextDemand) {
-    this->nextDemand = now + kDemandPause;
+    this->nextDemand = now + kDemandInterval;
     this->ReportDemand(now);
   }
   if (now >= this->nextSyncQuery) {
     this->QuerySyncSources(now);
   }
-  if (now < this->nextQuestion) {
+  if (now < this->nextQuery) {
     return;
   }
   const auto isOld = [](std::optional<Micros> aAge) {
-    return !aAge || *aAge > kOwnProofAge;
+    return !aAge || *aAge > kMaxOwnValidationAge;
   };
-  if (this->IsNew() && !this->members.HasSyncSource()) {
-    this->nextQuestion = now + kFirstQuestionPause;
-    this->AskSeeds(now);
+  if (this->IsStarting() && !this->members.HasSyncSource()) {
+    this->nextQuery = now + kStartQueryInterval;
+    this->QuerySeeds(now);
   } else if (isOld(this->view.ValidationAge()) ||
              isOld(this->view.ListsAge())) {
-    this->nextQuestion = now + kQuestionPause;
-    this->AskPeers(now);
+    this->nextQuery = now + kQueryInterval;
+    this->QueryPeers(now);
   }
 }
 
 void PeerProtocol::QuerySyncSources(Instant aNow) {
-  const bool isNew = this->IsNew();
-  this->nextSyncQuery = aNow + (isNew ? kFirstQuestionPause : kReliancePause);
-  const int most = isNew ? kMostUnansweredAtStart : PeerMembers::kMaxUnanswered;
-  for (const std::string& address : this->members.NextSyncSources(most)) {
-    this->Ask(address, aNow);
+  const bool isStarting = this->IsStarting();
+  this->nextSyncQuery =
+      aNow + (isStarting ? kStartQueryInterval : kSyncInterval);
+  const int maxUnanswered =
+      isStarting ? kMaxUnansweredAtStart : PeerMembers::kMaxUnanswered;
+  for (const std::string& address :
+       this->members.NextSyncSources(maxUnanswered)) {
+    this->Query(address, aNow);
   }
 }
 
-void PeerProtocol::AskSeeds(Instant aNow) {
+void PeerProtocol::QuerySeeds(Instant aNow) {
   for (const std::string& address : this->seeds) {
-    this->Ask(address, aNow, Wanted::Names);
+    this->Query(address, aNow, QueryScope::Members);
   }
 }
 
 void PeerProtocol::ReportDemand(Instant aNow) {
-  const std::optional<double> own = this->ownDemand();
+  const std::optional<double> own = this->localDemand();
   if (!own) {
     return;
   }
@@ -369,20 +381,20 @@
 }
 
 void PeerProtocol::SendToPlacementLeader(EdgePeerBody aBody) {
-  const auto holder = this->members.All().find(this->placementLeader);
-  if (holder != this->members.All().end()) {
-    this->Send(holder->second.address, std::move(aBody));
+  const auto leader = this->members.All().find(this->placementLeader);
+  if (leader != this->members.All().end()) {
+    this->Send(leader->second.address, std::move(aBody));
   }
 }
 
-Micros PeerProtocol::GossipPause() const {
-  const auto tellers =
+Micros PeerProtocol::GossipInterval() const {
+  const auto senders =
       std::count_if(this->members.All().begin(), this->members.All().end(),
                     [this](const auto& aMember) {
                       return this->members.IsSameDomain(aMember.second);
                     });
-  return std::max(kGossipPause,
-                  FromSeconds(static_cast<double>(tellers) / kWorkMessages));
+  return std::max(kGossipInterval, FromSeconds(static_cast<double>(senders) /
+                                               kMaxWorkMessageRate));
 }
 
 void PeerProtocol::Gossip() {
@@ -392,33 +404,33 @@
   for (const auto& [id, upstream] : this->view.Directory().All()) {
     const bool isSuspect = upstream->IsSuspect(now);
     hasSuspects = hasSuspects || isSuspect;
-    const double pace = upstream->ObservedSlowdown(now);
-    if (upstream->own > 0 || isSuspect || pace > 1) {
+    const double slowdown = upstream->ObservedSlowdown(now);
+    if (upstream->own > 0 || isSuspect || slowdown > 1) {
       gossip.works.push_back(
-          {upstream->Number(), upstream->own, isSuspect, pace});
+          {upstream->Number(), upstream->own, isSuspect, slowdown});
     }
   }
-  // An empty message is sent once, to take back what was told before.
-  if (gossip.works.empty() && !this->toldWork) {
+  // An empty message is sent once, to clear the work sent before.
+  if (gossip.works.empty() && !this->hasSentWork) {
     return;
   }
-  this->toldWork = !gossip.works.empty();
-  const PeerFrame message = this->Write(std::move(gossip));
-  const bool tellsAll = this->members.All().size() <= kFewMembers;
+  this->hasSentWork = !gossip.works.empty();
+  const PeerFrame message = this->Encode(std::move(gossip));
+  const bool sendsToAll = this->members.All().size() <= kMaxFullGossipMembers;
   for (const auto& [name, member] : this->members.All()) {
-    const bool shares = this->members.IsSameDomain(member);
-    const bool places = hasSuspects && name == this->placementLeader;
-    if (tellsAll || shares || places) {
-      this->SendText(member.address, PeerMessageKind::Work, message);
+    const bool isSameDomain = this->members.IsSameDomain(member);
+    const bool isPlacementLeader = hasSuspects && name == this->placementLeader;
+    if (sendsToAll || isSameDomain || isPlacementLeader) {
+      this->SendFrame(member.address, PeerMessageKind::Work, message);
     }
   }
 }
 
 void PeerProtocol::Broadcast(EdgePeerBody aBody) {
   const PeerMessageKind kind = KindOf(aBody);
-  const PeerFrame message = this->Write(std::move(aBody));
+  const PeerFrame message = this->Encode(std::move(aBody));
   for (const auto& [name, member] : this->members.All()) {
-    this->SendText(member.address, kind, message);
+    this->SendFrame(member.address, kind, message);
   }
 }
 
@@ -434,93 +446,97 @@
 
 void PeerProtocol::OnConfiguration() {
   if (this->members.HasSyncSource()) {
-    return;  // Who told it has told the others.
+    return;  // The sync source has notified the others.
   }
-  // The text is large, and after an outage everybody has it from the store:
-  // those that lack it ask for it.
+  // The text is large, and after an outage all daemons have read it from the
+  // store: those that lack it query for it.
   const PeerFrame hint = this->Hint();
   for (const std::string& address : this->members.DomainPeerAddresses()) {
-    this->SendText(address, PeerMessageKind::Give, hint);
+    this->SendFrame(address, PeerMessageKind::Response, hint);
   }
 }
 
-void PeerProtocol::Ask(const std::string& aAddress, Instant aNow,
-                       Wanted aWanted) {
-  std::erase_if(this->questions, [aNow](const auto& aQuestion) {
-    return aNow - aQuestion.second.askedAt > kQuestionLife;
+void PeerProtocol::Query(const std::string& aAddress, Instant aNow,
+                         QueryScope aScope) {
+  std::erase_if(this->pendingQueries, [aNow](const auto& aPending) {
+    return aNow - aPending.second.sentAt > kQueryTimeout;
   });
-  const std::uint64_t number = ++this->lastQuestion;
-  Question& question = this->questions[number] = {aAddress, aNow};
+  const std::uint64_t number = ++this->lastQueryId;
+  PendingQuery& pending = this->pendingQueries[number] = {aAddress, aNow};
   KnownRevisions known = this->view.Revisions();
-  if (aWanted == Wanted::Names) {
-    question.wantsNames = true;
-    known = kNothingWanted;
+  if (aScope == QueryScope::Members) {
+    pending.requestsMembers = true;
+    known = kNothingRequested;
   }
-  if (known.config.IsNone() && aWanted == Wanted::News &&
-      aNow - this->startedAt < kStorePatience) {
-    known.config = kNotWanted;
+  if (known.config.IsNone() && aScope == QueryScope::Changes &&
+      aNow - this->startedAt < kStoreConfigTimeout) {
+    known.config = kNotRequested;
   }
   if (known.upstreams.IsNone()) {
-    question.wantsUpstreams = this->MayAskForAll(aAddress, aNow);
-    known.upstreams = question.wantsUpstreams ? StoreRevision{} : kNotWanted;
-    if (question.wantsUpstreams) {
-      this->questionForAll = number;
+    pending.requestsUpstreams = this->CanQueryFullList(aAddress, aNow);
+    known.upstreams =
+        pending.requestsUpstreams ? StoreRevision{} : kNotRequested;
+    if (pending.requestsUpstreams) {
+      this->fullListQuery = number;
     }
   }
-  ClusterWant want;
-  want.era = this->Era();
-  want.question = number;
-  want.known = known;
-  want.failureDomain = this->settings.failureDomain;
-  want.linkMbps = this->settings.linkMbps;
-  want.wantsEntry = this->entries.WantsEntry();
-  want.wantsNames = question.wantsNames;
-  this->Send(aAddress, std::move(want));
-}
-
-bool PeerProtocol::MayAskForAll(const std::string& aAddress,
-                                Instant aNow) const {
-  const auto open = this->questions.find(this->questionForAll);
-  if (open != this->questions.end() &&
-      aNow - open->second.askedAt < kAllPatience) {
+  ClusterQuery query;
+  query.era = this->Era();
+  query.queryId = number;
+  query.known = known;
+  query.failureDomain = this->settings.failureDomain;
+  query.linkMbps = this->settings.linkMbps;
+  query.needsEntry = this->registrar.NeedsEntry();
+  query.requestsMembers = pending.requestsMembers;
+  this->Send(aAddress, std::move(query));
+}
+
+bool PeerProtocol::CanQueryFullList(const std::string& aAddress,
+                                    Instant aNow) const {
+  const auto fullList = this->pendingQueries.find(this->fullListQuery);
+  if (fullList != this->pendingQueries.end() &&
+      aNow - fullList->second.sentAt < kFullListTimeout) {
     return false;
   }
-  const std::vector<std::string> near = this->members.DomainPeerAddresses();
-  return near.empty() || !this->AsksNearOnly(aNow) ||
-         std::find(near.begin(), near.end(), aAddress) != near.end();
+  const std::vector<std::string> sameDomain =
+      this->members.DomainPeerAddresses();
+  return sameDomain.empty() || !this->QueriesSameDomainOnly(aNow) ||
+         std::find(sameDomain.begin(), sameDomain.end(), aAddress) !=
+             sameDomain.end();
 }
 
-bool PeerProtocol::AsksNearOnly(Instant aNow) const {
-  // Where those that are near have all begun anew too, anybody is asked.
-  return this->IsNew() && aNow - this->startedAt < kNearPatience;
+bool PeerProtocol::QueriesSameDomainOnly(Instant aNow) const {
+  // Once this time has passed, members of the own domain may all have just
+  // started too, and any peer is queried.
+  return this->IsStarting() && aNow - this->startedAt < kSameDomainPeriod;
 }
 
-void PeerProtocol::AskPeers(Instant aNow) {
-  std::vector<std::string> known = this->AsksNearOnly(aNow)
+void PeerProtocol::QueryPeers(Instant aNow) {
+  std::vector<std::string> known = this->QueriesSameDomainOnly(aNow)
                                        ? this->members.DomainPeerAddresses()
                                        : std::vector<std::string>{};
   if (known.empty()) {
     known = this->KnownAddresses();
   }
-  for (std::size_t i = 0; i < kAskedAtOnce && !known.empty(); ++i) {
+  for (std::size_t i = 0; i < kParallelQueries && !known.empty(); ++i) {
     const std::size_t pick = this->random.Below(known.size());
-    this->Ask(known[pick], aNow);
+    this->Query(known[pick], aNow);
     known.erase(known.begin() + static_cast<std::ptrdiff_t>(pick));
   }
 }
 
-PeerFrame PeerProtocol::Write(EdgePeerBody aBody) const {
+PeerFrame PeerProtocol::Encode(EdgePeerBody aBody) const {
   return WriteEdgePeerMessage(
       {this->settings.name, this->settings.peerListen, std::move(aBody)});
 }
 
 void PeerProtocol::Send(const std::string& aAddress, EdgePeerBody aBody) {
   const PeerMessageKind kind = KindOf(aBody);
-  this->SendText(aAddress, kind, this->Write(std::move(aBody)));
+  this->SendFrame(aAddress, kind, this->Encode(std::move(aBody)));
 }
 
-void PeerProtocol::SendText(const std::string& aAddress, PeerMessageKind aKind,
-                            const PeerFrame& aMessage) {
+void PeerProtocol::SendFrame(const std::string& aAddress, PeerMessageKind aKind,
+                             const PeerFrame& aMessage) {
   this->bytes.AddSent(aKind, aMessage.Size());
   this->transport->Send(aAddress, aMessage);
 }
--- a/Zincstep/Edge/PeerProtocol.h
+++ b/Zincstep/Edge/PeerProtocol.h
@@ -18,25 +18,25 @@
 
 namespace zincstep {
 
-/// Speaks with the other edge daemons.
+/// Exchanges messages with the other edge daemons.
 ///
-/// Tells those of the same failure domain how much work is in flight, and
-/// asks any of them what it knows when the store does not answer. Daemons
-/// find each other by entries in the store, and by the seeds.
+/// Sends work in flight to the daemons of the same failure domain, and queries
+/// any daemon for the cluster's state when the store does not respond. Daemons
+/// discover each other by entries in the store and by the seeds.
 class PeerProtocol final : private PeerListener {
  public:
-  /// What this daemon's callers need; none where that is not known.
-  using OwnDemand = std::function<std::optional<double>()>;
+  /// Returns the demand of this daemon's callers; none if unknown.
+  using LocalDemand = std::function<std::optional<double>()>;
   /// Called with an upstream that a peer suspects and this daemon does not.
   using OnPeerSuspicion = std::function<void(const UpstreamPtr&)>;
 
-  /// Called with what a peer tells of requests that end upstreams, and where it
-  /// listens.
+  /// Called with a peer's report of requests that crash upstreams, and the
+  /// address at which it listens.
   using OnPeerCrashes =
       std::function<void(const CrashGossip&, const std::string&)>;
 
-  /// Called with what a peer tells of limits that upstreams name, its name, and
-  /// where it listens.
+  /// Called with a peer's report of upstreams' rate limits, its name, and the
+  /// address at which it listens.
   using OnPeerLimits = std::function<void(
       const LimitGossip&, const std::string&, const std::string&)>;
 
@@ -44,106 +44,113 @@
                AsyncStore& aStore, ClusterView& aView, const Clock& aClock,
                Random& aRandom, Metrics& aMetrics, StoreEraTracker& aEras,
                OnPeerSuspicion aOnSuspicion, OnPeerCrashes aOnCrashes,
-               OnPeerLimits aOnLimits, OwnDemand aOwnDemand);
+               OnPeerLimits aOnLimits, LocalDemand aLocalDemand);
 
   Result<void> Start();
-  /// This daemon will end: it is taken off the list of daemons.
-  void BeginStop() { this->entries.End(); }
+  /// Deregisters this daemon before it stops.
+  void BeginStop() { this->registrar.Deregister(); }
   void Stop();
-  /// Tells and asks where it is time; to be called several times a second.
+  /// Sends gossip and queries that are due. Called several times per second.
   void Tick();
-  /// The other daemons, and whether one of them proves for this one.
+  /// The other daemons and the selection of the sync source.
   const PeerMembers& Members() const { return this->members; }
-  /// The demand of all daemons, where this one places layers and has heard of
-  /// it; see `DemandSum::Peak`.
+  /// Returns the demand of all daemons, if this one leads placement and has
+  /// received it; see `DemandSum::Peak`.
   std::optional<ObservedDemand> Demand() {
     return this->demand.Peak(this->clock.Now());
   }
-  /// Entries of this failure domain's daemons, as the store had them lately.
+  /// Applies entries of this failure domain's daemons that were read at the
+  /// start and may be stale.
   void OnBootstrapEntries(const std::vector<StoreItem>& aItems);
-  /// Daemons that are known, this one included.
-  std::size_t Daemons() const { return this->members.All().size() + 1; }
-  /// The store has come back from a copy: what this daemon keeps there is
-  /// written again, and what peers were asked for is void.
+  /// Number of known daemons, including this one.
+  std::size_t DaemonCount() const { return this->members.All().size() + 1; }
+  /// Writes this daemon's entries again and discards pending queries, after the
+  /// store was restored from a backup.
   void OnRestored();
-  /// A newer configuration is in force here: peers are told at once.
+  /// Notifies peers that a newer configuration is active here.
   void OnConfiguration();
-  /// Tells this daemon's work and suspicions at once.
+  /// Sends this daemon's work and suspicions in the next turn of the loop.
   void GossipSoon();
-  /// Tells all daemons at once.
+  /// Sends a message to all daemons at once.
   void Broadcast(EdgePeerBody aBody);
-  /// Tells one daemon.
+  /// Sends a message to one daemon.
   void Send(const std::string& aAddress, EdgePeerBody aBody);
-  /// Tells whoever places layers, if that is another daemon.
+  /// Sends a message to the placement leader, if that is another daemon.
   void SendToPlacementLeader(EdgePeerBody aBody);
-  /// The view's entries of daemons have changed; `aPlacementLeader` places
-  /// layers and is told of suspicions wherever it is.
+  /// Applies the view's changed daemon entries. `aPlacementLeader` is sent
+  /// suspicions, whatever its failure domain.
   void OnDaemonEntries(const std::string& aPlacementLeader);
-  /// Bytes of messages that wait to be sent.
+  /// Bytes queued for sending.
   std::size_t BytesToPeers() const {
     return this->transport->Traffic().totalQueuedBytes;
   }
-  /// Bytes of messages that have come and are not read yet.
+  /// Bytes received but not parsed yet.
   std::size_t BytesFromPeers() const {
     return this->transport->Traffic().unconsumedBytes;
   }
-  /// Bytes that are kept packed for whoever asks.
-  std::size_t BytesPacked() const { return this->answers.Bytes(); }
-  /// Whether no other daemon is known by the settings.
+  /// Bytes of cached compressed responses.
+  std::size_t BytesPacked() const { return this->responder.Bytes(); }
+  /// Returns whether no seeds are configured.
   bool IsAlone() const { return this->seeds.empty(); }
 
  private:
-  /// What a question is for: all that is new, at any rate the configuration,
-  /// though a daemon that starts may have it from the store, or who is there.
-  enum class Wanted { News, Configuration, Names };
-  struct Question {
+  /// What a query requests: all changes; changes including the configuration,
+  /// which a starting daemon otherwise leaves to the store; or the names of
+  /// other daemons.
+  enum class QueryScope { Changes, Configuration, Members };
+  struct PendingQuery {
     std::string address;
-    Instant askedAt;
-    /// Whether the answer tells of upstreams, so that it can prove the lists.
-    bool wantsUpstreams = true;
-    bool wantsNames = false;
+    Instant sentAt;
+    /// Whether the response includes the upstreams, so that it can validate the
+    /// lists.
+    bool requestsUpstreams = true;
+    bool requestsMembers = false;
   };
 
   void OnPeerData(std::string aMessage) override;
   void OnMessage(const EdgePeerMessage& aMessage);
-  void OnWant(const std::string& aSender, const std::string& aAddress,
-              const ClusterWant& aWant);
-  /// A peer has named the first daemons of this failure domain.
-  void OnNames(std::vector<PeerName> aNames);
+  void OnQuery(const std::string& aSender, const std::string& aAddress,
+               const ClusterQuery& aQuery);
+  /// Applies the highest-ranked daemons of this failure domain as named by a
+  /// peer.
+  void OnMembersNamed(std::vector<PeerName> aNames);
   void OnGossip(const std::string& aSender, const WorkGossip& aGossip);
-  void OnGive(const ClusterGive& aGive);
-  /// Either side is told where the other has a configuration of a higher
-  /// version.
-  void CompareVersions(const std::string& aAddress, const ClusterUpdate& aCopy);
-  /// A message that says which configuration is in force here.
+  void OnResponse(const ClusterResponse& aResponse);
+  /// Queries the peer for its configuration if that has a higher version, or
+  /// notifies the peer if the version here is higher.
+  void CompareVersions(const std::string& aAddress,
+                       const ClusterUpdate& aUpdate);
+  /// Returns a message with the version of the active configuration, without
+  /// its text.
   PeerFrame Hint() const;
   std::uint64_t Era() const { return this->eras.Present().value_or(0); }
-  /// A peer has a configuration that may be newer.
-  void OnHint(const std::string& aAddress, const ClusterUpdate& aCopy);
-  /// Whether peers have not told what this daemon needs to begin.
-  bool IsNew() const;
+  /// Queries a peer that has announced a possibly newer configuration.
+  void OnHint(const std::string& aAddress, const ClusterUpdate& aUpdate);
+  /// Returns whether this daemon still has no validated lists.
+  bool IsStarting() const;
   void Gossip();
-  /// Tells whoever places layers what this daemon's callers need.
+  /// Sends the demand of this daemon's callers to the placement leader.
   void ReportDemand(Instant aNow);
-  /// Between two tellings of this daemon's work.
-  Micros GossipPause() const;
-  void AskPeers(Instant aNow);
-  /// Asks the seeds who is there.
-  void AskSeeds(Instant aNow);
-  /// Asks whoever tells this daemon what the store holds.
+  /// Interval between messages with this daemon's work.
+  Micros GossipInterval() const;
+  void QueryPeers(Instant aNow);
+  /// Queries the seeds for the names of other daemons.
+  void QuerySeeds(Instant aNow);
+  /// Queries the sync sources for updates of the store's state.
   void QuerySyncSources(Instant aNow);
   std::vector<std::string> KnownAddresses() const;
-  void Ask(const std::string& aAddress, Instant aNow,
-           Wanted aWanted = Wanted::News);
-  /// Whether that peer may be asked for all upstreams at once: the entries of
-  /// thousands are a megabyte.
-  bool MayAskForAll(const std::string& aAddress, Instant aNow) const;
-  /// Whether only members of the own failure domain are asked for all.
-  bool AsksNearOnly(Instant aNow) const;
-  PeerFrame Write(EdgePeerBody aBody) const;
-  /// Sends a message that is written already.
-  void SendText(const std::string& aAddress, PeerMessageKind aKind,
-                const PeerFrame& aMessage);
+  void Query(const std::string& aAddress, Instant aNow,
+             QueryScope aScope = QueryScope::Changes);
+  /// Returns whether this peer may be queried for the full list of upstreams:
+  /// the entries of thousands are a megabyte.
+  bool CanQueryFullList(const std::string& aAddress, Instant aNow) const;
+  /// Returns whether only members of this failure domain are queried for the
+  /// full list.
+  bool QueriesSameDomainOnly(Instant aNow) const;
+  PeerFrame Encode(EdgePeerBody aBody) const;
+  /// Sends an encoded message.
+  void SendFrame(const std::string& aAddress, PeerMessageKind aKind,
+                 const PeerFrame& aMessage);
 
   asio::io_context& loop;
   const EdgeSettings& settings;
@@ -153,34 +160,34 @@
   OnPeerSuspicion onSuspicion;
   OnPeerCrashes onCrashes;
   OnPeerLimits onLimits;
-  OwnDemand ownDemand;
+  LocalDemand localDemand;
   StoreEraTracker& eras;
   PeerByteCount bytes;
-  DaemonRegistrar entries;
-  PeerResponder answers;
+  DaemonRegistrar registrar;
+  PeerResponder responder;
   std::unique_ptr<PeerTransport> transport;
   PeerWork work;
   DemandSum demand;
   PeerMembers members;
-  /// Revision up to which the members are those of the daemons' entries.
-  StoreRevision entriesAt;
+  /// Revision of the daemons' entries that `members` reflects.
+  StoreRevision entriesRevision;
   std::string placementLeader;
   std::vector<std::string> seeds;
-  /// When this daemon began; the store is asked for the configuration first.
+  /// Start of this daemon, from which the time limits of a start are measured.
   Instant startedAt;
-  /// Open questions by their numbers.
-  std::map<std::uint64_t, Question> questions;
-  std::uint64_t lastQuestion = 0;
-  /// The last question for all upstreams at once.
-  std::uint64_t questionForAll = 0;
+  /// Pending queries by id.
+  std::map<std::uint64_t, PendingQuery> pendingQueries;
+  std::uint64_t lastQueryId = 0;
+  /// Id of the last query for the full list of upstreams.
+  std::uint64_t fullListQuery = 0;
   Instant nextGossip{};
   Instant nextDemand{};
-  Instant nextQuestion{};
+  Instant nextQuery{};
   Instant nextSyncQuery{};
-  /// Hints are followed up again from then on.
-  Instant nextHintTaken{};
+  /// Earliest time at which the next hint is followed up.
+  Instant nextHintAt{};
   bool isGossipDue = false;
-  bool toldWork = false;
+  bool hasSentWork = false;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Edge/PeerResponder.cpp
+++ b/Zincstep/Edge/PeerResponder.cpp
@@ -5,14 +5,15 @@
 namespace {
 
 constexpr double kBytesPerMbit = 125'000;
-/// Share of the link for whole lists: requests need the rest.
-constexpr double kListShare = 0.4;
-/// For so long the lists may take that share in advance: those of a hundred
-/// upstreams for thirty daemons that start together by 20 Mbit/s.
+/// Share of the link for full lists: requests need the rest.
+constexpr double kListLinkShare = 0.4;
+/// Burst of the full lists, in seconds of their share of the link: enough for
+/// the lists of a hundred upstreams for thirty daemons that start together, at
+/// 20 Mbit/s.
 constexpr double kListBurstSeconds = 1;
 
-std::size_t WholeBytes(const PackedList* aList) {
-  return aList != nullptr && aList->isWhole ? aList->text->size() : 0;
+std::size_t FullListBytes(const PackedList* aList) {
+  return aList != nullptr && aList->isFull ? aList->bytes->size() : 0;
 }
 
 }  // namespace
@@ -21,8 +22,9 @@
                              double aLinkMbps)
     : view(aView),
       clock(aClock),
-      listBytes(aLinkMbps * kBytesPerMbit * kListShare,
-                aLinkMbps * kBytesPerMbit * kListShare * kListBurstSeconds) {}
+      listBudget(
+          aLinkMbps * kBytesPerMbit * kListLinkShare,
+          aLinkMbps * kBytesPerMbit * kListLinkShare * kListBurstSeconds) {}
 
 const PackedList* PeerResponder::Pack(PackedLists& aLists, StoreRevision aSince,
                                       StoreRevision aAt,
@@ -38,17 +40,18 @@
   return packed;
 }
 
-bool PeerResponder::MaySpend(std::size_t aBytes) {
-  if (aBytes > 0 && this->listBytes.At(this->clock.Now()) <= 0) {
+bool PeerResponder::TryReserve(std::size_t aBytes) {
+  if (aBytes > 0 && this->listBudget.At(this->clock.Now()) <= 0) {
     return false;
   }
-  this->listBytes.Spend(static_cast<double>(aBytes));
+  this->listBudget.Spend(static_cast<double>(aBytes));
   return true;
 }
 
-ClusterGive PeerResponder::To(const ClusterWant& aWant, std::uint64_t aEra) {
-  // The copy need not hold what is packed already.
-  KnownRevisions known = aWant.known;
+ClusterResponse PeerResponder::Respond(const ClusterQuery& aQuery,
+                                       std::uint64_t aEra) {
+  // The update need not contain what is cached in packed form.
+  KnownRevisions known = aQuery.known;
   const StoreRevision upstreamsAt = this->view.UpstreamsAt();
   const StoreRevision daemonsAt = this->view.DaemonsAt();
   if (this->upstreams.Find(known.upstreams, upstreamsAt) != nullptr) {
@@ -62,32 +65,33 @@
     known.config = this->view.ConfigStoreRevision();
     known.configVersion = this->view.ConfigVersion();
   }
-  ClusterGive give;
-  give.era = aEra;
-  give.question = aWant.question;
-  give.copy = this->view.UpdateFor(known);
+  ClusterResponse response;
+  response.era = aEra;
+  response.queryId = aQuery.queryId;
+  response.update = this->view.UpdateFor(known);
   if (lacksConfig) {
-    give.packedConfig = this->config.Of(this->view);
+    response.packedConfig = this->config.Get(this->view);
   }
-  const PackedList* changedUpstreams = this->Pack(
-      this->upstreams, aWant.known.upstreams, upstreamsAt, give.copy.upstreams);
+  const PackedList* changedUpstreams =
+      this->Pack(this->upstreams, aQuery.known.upstreams, upstreamsAt,
+                 response.update.upstreams);
   const PackedList* changedDaemons = this->Pack(
-      this->daemons, aWant.known.daemons, daemonsAt, give.copy.daemons);
-  if (!this->MaySpend(WholeBytes(changedUpstreams) +
-                      WholeBytes(changedDaemons))) {
-    give.copy.upstreams.reset();
-    give.copy.daemons.reset();
-    give.copy.listsAge.reset();
-    return give;
+      this->daemons, aQuery.known.daemons, daemonsAt, response.update.daemons);
+  if (!this->TryReserve(FullListBytes(changedUpstreams) +
+                        FullListBytes(changedDaemons))) {
+    response.update.upstreams.reset();
+    response.update.daemons.reset();
+    response.update.listsAge.reset();
+    return response;
   }
   if (changedUpstreams != nullptr) {
-    give.packedUpstreams = changedUpstreams->text;
-    give.packedGrace = this->view.ReturnGrace();
+    response.packedUpstreams = changedUpstreams->bytes;
+    response.packedGrace = this->view.ReturnGrace();
   }
   if (changedDaemons != nullptr) {
-    give.packedDaemons = changedDaemons->text;
+    response.packedDaemons = changedDaemons->bytes;
   }
-  return give;
+  return response;
 }
 
 std::size_t PeerResponder::Bytes() const {
--- a/Zincstep/Edge/PeerResponder.h
+++ b/Zincstep/Edge/PeerResponder.h
@@ -7,39 +7,39 @@
 
 namespace zincstep {
 
-/// Answers what peers ask of the cluster.
+/// Responds to peers' queries for the state of the cluster.
 ///
-/// What many ask for at once, the configuration and long lists, is packed once
-/// and held once. Whole lists fall under a budget of bytes.
+/// The configuration and long lists, which many peers query at once, are
+/// compressed once and cached. Full lists are limited by a byte budget.
 class PeerResponder {
  public:
-  /// `aLinkMbps`: this VM's link.
+  /// `aLinkMbps`: link of this VM, in Mbit/s.
   PeerResponder(const ClusterView& aView, const Clock& aClock,
                 double aLinkMbps);
 
-  /// The answer to a question, in the present era of the store. Whole lists are
-  /// left out while the budget is spent: the asker has others to ask, and the
-  /// store.
-  ClusterGive To(const ClusterWant& aWant, std::uint64_t aEra);
-  /// Bytes that are kept packed.
+  /// Returns the response to a query, in the current era of the store. Leaves
+  /// out the lists while the budget for full lists is spent: the requester can
+  /// query other peers or the store.
+  ClusterResponse Respond(const ClusterQuery& aQuery, std::uint64_t aEra);
+  /// Cached bytes.
   std::size_t Bytes() const;
 
  private:
-  /// What is packed of a list for one who has it as of `aSince`; it takes the
-  /// place of `aList`. Null where that is short.
+  /// Returns the compressed list for a requester that has it as of `aSince`,
+  /// and resets `aList` in its favour. Null if the list is short.
   static const PackedList* Pack(PackedLists& aLists, StoreRevision aSince,
                                 StoreRevision aAt,
                                 std::optional<ListUpdate>& aList);
-  /// Whether whole lists of so many bytes may be told, which then count.
-  bool MaySpend(std::size_t aBytes);
+  /// Reserves bytes of the budget for full lists; returns false if it is spent.
+  bool TryReserve(std::size_t aBytes);
 
   const ClusterView& view;
   const Clock& clock;
   PackedConfiguration config;
   PackedLists upstreams;
   PackedLists daemons;
-  /// Bytes of whole lists that may be told; none are while it is below zero.
-  TokenBucket listBytes;
+  /// Budget for full lists, in bytes; none are sent while it is not positive.
+  TokenBucket listBudget;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Edge/PlanThread.cpp
+++ b/Zincstep/Edge/PlanThread.cpp
@@ -4,21 +4,22 @@
 
 namespace {
 
-/// Plans that may wait: one for each model at the most, of which a
+/// Maximum number of queued plans: at most one per model, of which a
 /// configuration has a few.
-constexpr std::size_t kMostWaiting = 64;
+constexpr std::size_t kMaxQueuedPlans = 64;
 
 }  // namespace
 
 PlanThread::PlanThread(asio::io_context& aLoop, PlacementSettings aSettings)
-    : loop(aLoop), planner(aSettings), thread(kMostWaiting, [this](Work aWork) {
-        this->Run(std::move(aWork));
-      }) {}
+    : loop(aLoop),
+      planner(aSettings),
+      thread(kMaxQueuedPlans,
+             [this](Work aWork) { this->Run(std::move(aWork)); }) {}
 
 void PlanThread::Start(PlanTask aTask, Done aDone) {
-  const bool isTaken = this->thread.Push({std::move(aTask), aDone});
-  if (!isTaken) {
-    LogWarning("placement_plan_dropped", {{"reason", "too many plans wait"}});
+  const bool isQueued = this->thread.Push({std::move(aTask), aDone});
+  if (!isQueued) {
+    LogWarning("placement_plan_dropped", {{"reason", "too many queued plans"}});
     asio::post(this->loop, [done = std::move(aDone)] { done({}); });
   }
 }
--- a/Zincstep/Edge/PlanThread.h
+++ b/Zincstep/Edge/PlanThread.h
@@ -6,8 +6,9 @@
 
 namespace zincstep {
 
-/// Makes plans on a thread of its own: a plan for thousands of upstreams takes
-/// tenths of a second, in which renewals, proofs and callers must not wait.
+/// Computes placement plans on a separate thread: a plan for thousands of
+/// upstreams takes tenths of a second, which must not delay lease renewals,
+/// validations and callers.
 class PlanThread final : public PlanRunner {
  public:
   PlanThread(asio::io_context& aLoop, PlacementSettings aSettings);
