--- a/UnitTests/BlockListTest.cpp
+++ b/UnitTests/BlockListTest.cpp
@@ -8,7 +8,7 @@
 constexpr RequestFingerprint kRequest{1};
 constexpr RequestFingerprint kOther{2};
 
-/// One item, changed on condition of its revision.
+/// A store of one item with conditional writes.
 class OneItemStore final : public AsyncStore {
  public:
   void Range(const std::string&, Done<StoreRange>) override {}
@@ -17,7 +17,7 @@
              Done<StoreEvents>) override {}
   void Commit(StoreChange aChange, Done<StoreCommit> aDone) override {
     this->calls += 1;
-    if (this->isAway) {
+    if (this->isUnavailable) {
       aDone(Fail(ErrorKind::PlatformUnavailable, "away"));
     } else if (aChange.expected != this->item.revision) {
       aDone(StoreCommit{false, {}, this->item});
@@ -36,132 +36,132 @@
 
   StoreItem item{BlockList::kKey, "", 0};
   int calls = 0;
-  bool isAway = false;
+  bool isUnavailable = false;
 };
 
 class BlockListTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(BlockListTest);
-  CPPUNIT_TEST(Write_Blocked_IsKnownToADaemonThatStarts);
-  CPPUNIT_TEST(Write_NothingNew_CallsNobody);
-  CPPUNIT_TEST(Write_ByWhoHasNotReadIt_LosesNothing);
-  CPPUNIT_TEST(Write_Cleared_EndsTheBlockElsewhere);
-  CPPUNIT_TEST(Write_StoreAway_IsTriedAgainLater);
-  CPPUNIT_TEST(Entries_ListThatDoesNotParse_LeavesTheLast);
-  CPPUNIT_TEST(Restored_ListOfTheCopy_TakesNoBlockAway);
+  CPPUNIT_TEST(Write_BlockedRequest_IsReadByStartingDaemon);
+  CPPUNIT_TEST(Write_Unchanged_SkipsStore);
+  CPPUNIT_TEST(Write_WithoutPriorRead_MergesLists);
+  CPPUNIT_TEST(Write_ClearedRequest_UnblocksItElsewhere);
+  CPPUNIT_TEST(Write_StoreUnavailable_IsRetriedLater);
+  CPPUNIT_TEST(OnEntries_MalformedList_KeepsLastList);
+  CPPUNIT_TEST(OnRestored_OlderList_KeepsAllBlocks);
   CPPUNIT_TEST_SUITE_END();
 
-  /// What a daemon has of it.
+  /// The parts of a daemon that track and share blocked requests.
   struct Daemon {
     explicit Daemon(AsyncStore& aStore, const Clock& aClock)
-        : list("own/", aStore, ledger, aClock), clock(aClock) {}
+        : list("own/", aStore, crashes, aClock), clock(aClock) {}
 
-    CrashTracker ledger{CrashTrackerSettings{}};
+    CrashTracker crashes{CrashTrackerSettings{}};
     BlockList list;
     const Clock& clock;
 
     void Block(RequestFingerprint aRequest) {
       for (std::uint64_t upstream = 1; upstream <= 3; ++upstream) {
-        this->ledger.OnCrash({aRequest, upstream}, this->clock.Now());
+        this->crashes.OnCrash({aRequest, upstream}, this->clock.Now());
       }
     }
     bool Blocks(RequestFingerprint aRequest) const {
-      return this->ledger.BlockedFor(aRequest, this->clock.Now()) > Micros{0};
+      return this->crashes.BlockedFor(aRequest, this->clock.Now()) > Micros{0};
     }
   };
 
   FakeClock clock;
   OneItemStore store;
-  Daemon holder{store, clock};
+  Daemon leader{store, clock};
   Daemon other{store, clock};
 
  public:
   void setUp() override { clock.Advance(100s); }
 
-  void Write_Blocked_IsKnownToADaemonThatStarts() {
-    holder.Block(kRequest);
-    holder.list.Write();
+  void Write_BlockedRequest_IsReadByStartingDaemon() {
+    leader.Block(kRequest);
+    leader.list.Write();
     other.list.OnEntries(store.Items());
     CPPUNIT_ASSERT(other.Blocks(kRequest));
   }
 
-  void Write_NothingNew_CallsNobody() {
-    holder.list.Write();
+  void Write_Unchanged_SkipsStore() {
+    leader.list.Write();
     CPPUNIT_ASSERT_EQUAL(0, store.calls);
-    holder.Block(kRequest);
-    holder.list.Write();
-    holder.list.OnEntries(store.Items());
-    holder.list.Write();
+    leader.Block(kRequest);
+    leader.list.Write();
+    leader.list.OnEntries(store.Items());
+    leader.list.Write();
     CPPUNIT_ASSERT_EQUAL(1, store.calls);
   }
 
-  void Write_ByWhoHasNotReadIt_LosesNothing() {
-    holder.Block(kRequest);
-    holder.list.Write();
+  void Write_WithoutPriorRead_MergesLists() {
+    leader.Block(kRequest);
+    leader.list.Write();
     other.Block(kOther);
     other.list.Write();
     clock.Advance(2s);
     other.list.Write();
-    holder.list.OnEntries(store.Items());
-    for (const Daemon* daemon : {&holder, &other}) {
+    leader.list.OnEntries(store.Items());
+    for (const Daemon* daemon : {&leader, &other}) {
       CPPUNIT_ASSERT(daemon->Blocks(kRequest) && daemon->Blocks(kOther));
     }
   }
 
-  void Write_Cleared_EndsTheBlockElsewhere() {
-    holder.Block(kRequest);
+  void Write_ClearedRequest_UnblocksItElsewhere() {
+    leader.Block(kRequest);
     other.Block(kRequest);
-    holder.list.Write();
+    leader.list.Write();
     other.list.OnEntries(store.Items());
-    holder.ledger.OnAnswered(kRequest, clock.Now());
-    holder.list.Write();
+    leader.crashes.OnAnswered(kRequest, clock.Now());
+    leader.list.Write();
     other.list.OnEntries(store.Items());
     CPPUNIT_ASSERT(!other.Blocks(kRequest));
   }
 
-  void Write_StoreAway_IsTriedAgainLater() {
-    store.isAway = true;
-    holder.Block(kRequest);
+  void Write_StoreUnavailable_IsRetriedLater() {
+    store.isUnavailable = true;
+    leader.Block(kRequest);
     for (int i = 0; i < 4; ++i) {
-      holder.list.Write();
+      leader.list.Write();
       clock.Advance(250ms);
     }
     CPPUNIT_ASSERT_EQUAL(1, store.calls);
-    store.isAway = false;
-    holder.list.Write();
+    store.isUnavailable = false;
+    leader.list.Write();
     CPPUNIT_ASSERT(!store.item.revision.IsNone());
   }
 
-  void Restored_ListOfTheCopy_TakesNoBlockAway() {
-    holder.Block(kRequest);
-    holder.list.Write();
-    const StoreItem copy = store.item;
-    holder.Block(kOther);
+  void OnRestored_OlderList_KeepsAllBlocks() {
+    leader.Block(kRequest);
+    leader.list.Write();
+    const StoreItem backup = store.item;
+    leader.Block(kOther);
     clock.Advance(2s);
-    holder.list.Write();
+    leader.list.Write();
     other.list.OnEntries(store.Items());
-    store.item = copy;
+    store.item = backup;
     store.item.revision.era = 1;
-    for (Daemon* daemon : {&holder, &other}) {
+    for (Daemon* daemon : {&leader, &other}) {
       daemon->list.OnRestored();
       daemon->list.OnEntries(store.Items());
       CPPUNIT_ASSERT(daemon->Blocks(kRequest) && daemon->Blocks(kOther));
     }
     clock.Advance(2s);
     other.list.Write();
-    Daemon fresh{store, clock};
-    fresh.list.OnEntries(store.Items());
-    CPPUNIT_ASSERT(fresh.Blocks(kRequest) && fresh.Blocks(kOther));
+    Daemon restarted{store, clock};
+    restarted.list.OnEntries(store.Items());
+    CPPUNIT_ASSERT(restarted.Blocks(kRequest) && restarted.Blocks(kOther));
   }
 
-  void Entries_ListThatDoesNotParse_LeavesTheLast() {
-    holder.Block(kRequest);
-    holder.list.Write();
+  void OnEntries_MalformedList_KeepsLastList() {
+    leader.Block(kRequest);
+    leader.list.Write();
     other.list.OnEntries(store.Items());
-    for (const char* wrong :
+    for (const char* malformed :
          {"", "[]", "{}", R"({"blocked":7})", R"({"blocked":["x"]})",
           R"({"blocked":[1]})", "\xff\xfe"}) {
       store.item.revision.number += 1;
-      store.item.value = wrong;
+      store.item.value = malformed;
       other.list.OnEntries(store.Items());
       CPPUNIT_ASSERT(other.Blocks(kRequest));
     }
--- a/UnitTests/DaemonRegistrarTest.cpp
+++ b/UnitTests/DaemonRegistrarTest.cpp
@@ -6,7 +6,7 @@
 namespace zincstep {
 namespace {
 
-/// Takes each call, unless the test has it refuse them, and counts them.
+/// Accepts all calls unless unavailable, and counts them.
 class EntryStore final : public AsyncStore {
  public:
   void Range(const std::string&, Done<StoreRange>) override {}
@@ -16,12 +16,12 @@
   void Commit(StoreChange, Done<StoreCommit>) override {}
   void WriteAll(StoreWrites aWrites, Done<StoreRevision> aDone) override {
     this->calls += 1;
-    if (this->isAway) {
+    if (this->isUnavailable) {
       aDone(Fail(ErrorKind::PlatformUnavailable, "away"));
       return;
     }
-    this->most =
-        std::max(this->most, aWrites.puts.size() + aWrites.removed.size());
+    this->maxBatch =
+        std::max(this->maxBatch, aWrites.puts.size() + aWrites.removed.size());
     this->revision.number += 1;
     for (const StorePut& put : aWrites.puts) {
       this->items[put.key] = StoreItem{put.key, put.value, this->revision};
@@ -34,7 +34,7 @@
   }
   void Grant(Micros, Done<std::uint64_t> aDone) override {
     this->calls += 1;
-    if (this->isAway) {
+    if (this->isUnavailable) {
       aDone(Fail(ErrorKind::PlatformUnavailable, "away"));
       return;
     }
@@ -50,65 +50,65 @@
   int calls = 0;
   int grants = 0;
   int puts = 0;
-  /// Most keys of one call.
-  std::size_t most = 0;
+  /// Maximum number of keys in one call.
+  std::size_t maxBatch = 0;
   StoreItems items;
   StoreRevision revision;
-  bool isAway = false;
+  bool isUnavailable = false;
 };
 
 class DaemonRegistrarTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DaemonRegistrarTest);
-  CPPUNIT_TEST(Keep_AtRest_CallsTheStoreSeldom);
-  CPPUNIT_TEST(Keep_DaemonsThatStartTogether_RenewApart);
-  CPPUNIT_TEST(Keep_EntryOfAnEarlierProcess_IsReplaced);
-  CPPUNIT_TEST(Keep_StoreAway_AsksEverLessOften);
-  CPPUNIT_TEST(Keep_ListNotKnownYet_WritesNothing);
-  CPPUNIT_TEST(Keep_WhereAnotherLeads_LeavesTheEntryToIt);
-  CPPUNIT_TEST(Keep_WhereNobodyWritesIt_WritesTheOwnEntry);
-  CPPUNIT_TEST(Keep_OwnEntryTakenOver_IsNotRenewed);
-  CPPUNIT_TEST(Askers_OfTheDomain_AreWrittenTogether);
-  CPPUNIT_TEST(Askers_OfOtherDomains_AreNotWritten);
-  CPPUNIT_TEST(Askers_WithAnEntryOfAnother_AreTakenOverLater);
-  CPPUNIT_TEST(Askers_AtANewAddress_AreWrittenAnew);
-  CPPUNIT_TEST(Askers_ThatFallSilent_AreRemoved);
-  CPPUNIT_TEST(Entries_OwnOneGone_IsWrittenAgain);
-  CPPUNIT_TEST(Entries_GoneOfOneThatAsksNoMore_StayAway);
-  CPPUNIT_TEST(End_EntryKept_IsTakenBackForGood);
-  CPPUNIT_TEST(Restored_Store_GetsTheEntryWithinASecond);
-  CPPUNIT_TEST(Restored_Store_IsNotWrittenByAllAtOnce);
+  CPPUNIT_TEST(Tick_Idle_CallsStoreRarely);
+  CPPUNIT_TEST(Tick_SimultaneousStarts_RenewAtDifferentTimes);
+  CPPUNIT_TEST(Tick_EntryOfEarlierProcess_IsReplaced);
+  CPPUNIT_TEST(Tick_StoreUnavailable_BacksOff);
+  CPPUNIT_TEST(Tick_ListUnknown_WritesNothing);
+  CPPUNIT_TEST(Tick_OtherLeader_LeavesEntryToIt);
+  CPPUNIT_TEST(Tick_EntryStaysMissing_RegistersItself);
+  CPPUNIT_TEST(Tick_EntryTakenOver_IsNotRenewed);
+  CPPUNIT_TEST(OnQueryFrom_SameDomain_IsWrittenInBatches);
+  CPPUNIT_TEST(OnQueryFrom_OtherDomain_IsNotWritten);
+  CPPUNIT_TEST(OnQueryFrom_EntryOfOtherWriter_IsTakenOverLater);
+  CPPUNIT_TEST(OnQueryFrom_ChangedAddress_IsRewritten);
+  CPPUNIT_TEST(OnQueryFrom_NoFurtherQueries_EntryIsRemoved);
+  CPPUNIT_TEST(OnEntries_OwnEntryMissing_IsRewritten);
+  CPPUNIT_TEST(OnEntries_EntryRemoved_IsRewrittenOnlyOnQuery);
+  CPPUNIT_TEST(Deregister_OwnEntry_IsRemovedForGood);
+  CPPUNIT_TEST(OnRestored_EntryLost_IsRewrittenWithinASecond);
+  CPPUNIT_TEST(OnRestored_ManyDaemons_SpreadTheirWrites);
   CPPUNIT_TEST_SUITE_END();
 
   FakeClock clock;
   EdgeSettings settings;
   EntryStore store;
-  std::unique_ptr<DaemonRegistrar> controller;
-  bool leads = true;
+  std::unique_ptr<DaemonRegistrar> registrar;
+  bool isLeader = true;
 
   static constexpr const char* kOwnKey = "members/a/d1";
 
   void Run(Micros aSpan) {
     for (Micros passed{0}; passed < aSpan; passed += 250ms) {
       clock.Advance(250ms);
-      controller->Keep(leads);
+      registrar->Tick(isLeader);
     }
   }
 
-  static PeerName Asker(int aNumber) {
+  static PeerName Requester(int aNumber) {
     const std::string number = std::to_string(aNumber);
     return {"d" + number, "h" + number + ":1", "a", 1000};
   }
 
-  /// The daemons' list as the store has it, without the prefix.
+  /// The daemons' list as stored, without the prefix.
   StoreItems listed;
 
-  void Tell() {
+  void NotifyListed() {
     listed.clear();
     for (const auto& [key, item] : store.items) {
       const std::string own = key.substr(settings.storePrefix.size());
       listed[own] = {own, item.value, item.revision};
     }
-    controller->OnEntries(listed);
+    registrar->OnEntries(listed);
   }
 
  public:
@@ -117,20 +117,20 @@
     settings.peerListen = "h1:1";
     settings.failureDomain = "a";
     clock.Advance(60s);
-    controller = std::make_unique<DaemonRegistrar>(settings, store, clock);
-    this->Tell();
+    registrar = std::make_unique<DaemonRegistrar>(settings, store, clock);
+    this->NotifyListed();
   }
 
-  // 295 daemons that renewed their entries every 4 s made 74 of 79 calls of
-  // the store a second.
-  void Keep_AtRest_CallsTheStoreSeldom() {
+  // Guards against the load of short leases: 295 daemons that renewed their
+  // entries every 4 s caused 74 of the store's 79 calls per second.
+  void Tick_Idle_CallsStoreRarely() {
     this->Run(60s);
     CPPUNIT_ASSERT(store.calls >= 2);
     CPPUNIT_ASSERT(store.calls <= 4);
     CPPUNIT_ASSERT_EQUAL(1, store.grants);
   }
 
-  void Keep_DaemonsThatStartTogether_RenewApart() {
+  void Tick_SimultaneousStarts_RenewAtDifferentTimes() {
     EdgeSettings other = settings;
     other.name = "d2";
     EntryStore otherStore;
@@ -138,15 +138,15 @@
     second.OnEntries(listed);
     for (int i = 0; i < 4; ++i) {
       clock.Advance(250ms);
-      controller->Keep(true);
-      second.Keep(true);
+      registrar->Tick(true);
+      second.Tick(true);
     }
     std::optional<Instant> first;
     std::optional<Instant> last;
     while (!first || !last) {
       clock.Advance(50ms);
-      controller->Keep(true);
-      second.Keep(true);
+      registrar->Tick(true);
+      second.Tick(true);
       if (store.calls == 3 && !first) {
         first = clock.Now();
       }
@@ -157,127 +157,130 @@
     CPPUNIT_ASSERT(std::max(*first, *last) - std::min(*first, *last) > 300ms);
   }
 
-  void Keep_EntryOfAnEarlierProcess_IsReplaced() {
+  void Tick_EntryOfEarlierProcess_IsReplaced() {
     const std::string key = settings.storePrefix + kOwnKey;
     store.revision = {9};
     store.items[key] = {key, "another text", {9}};
-    this->Tell();
+    this->NotifyListed();
     this->Run(1s);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, store.revision.number);
     CPPUNIT_ASSERT(store.items[key].value != "another text");
     CPPUNIT_ASSERT_EQUAL(2, store.calls);
   }
 
-  void Keep_StoreAway_AsksEverLessOften() {
-    store.isAway = true;
+  void Tick_StoreUnavailable_BacksOff() {
+    store.isUnavailable = true;
     this->Run(9s);
     CPPUNIT_ASSERT(store.calls <= 4);
-    store.isAway = false;
+    store.isUnavailable = false;
     this->Run(8s);
     CPPUNIT_ASSERT_EQUAL(1, store.grants);
   }
 
-  // A daemon that leads after the end of all wrote anew what stood there.
-  void Keep_ListNotKnownYet_WritesNothing() {
-    DaemonRegistrar fresh(settings, store, clock);
+  // Guards against rewriting entries that are still stored: a daemon that
+  // became leader after a restart of all daemons did so before it had read
+  // them.
+  void Tick_ListUnknown_WritesNothing() {
+    DaemonRegistrar unsynced(settings, store, clock);
     for (int i = 0; i < 8; ++i) {
       clock.Advance(250ms);
-      fresh.Keep(true);
-      fresh.OnQueryFrom(Asker(2));
+      unsynced.Tick(true);
+      unsynced.OnQueryFrom(Requester(2));
     }
     CPPUNIT_ASSERT_EQUAL(0, store.calls);
   }
 
-  // 985 daemons that started together each asked for a lease and wrote their
-  // entry: 1,970 calls.
-  void Keep_WhereAnotherLeads_LeavesTheEntryToIt() {
-    leads = false;
+  // Guards against 1,970 calls at a start: 985 daemons that started together
+  // each acquired a lease and wrote their entry.
+  void Tick_OtherLeader_LeavesEntryToIt() {
+    isLeader = false;
     this->Run(3s);
     CPPUNIT_ASSERT_EQUAL(0, store.calls);
     const std::string key = settings.storePrefix + kOwnKey;
     store.items[key] = {
         key, DaemonEntry::TextOf({"d1", "h1:1", "a", settings.linkMbps}), {4}};
-    this->Tell();
+    this->NotifyListed();
     this->Run(60s);
     CPPUNIT_ASSERT_EQUAL(0, store.calls);
   }
 
-  void Keep_WhereNobodyWritesIt_WritesTheOwnEntry() {
-    leads = false;
+  void Tick_EntryStaysMissing_RegistersItself() {
+    isLeader = false;
     this->Run(8s);
     CPPUNIT_ASSERT_EQUAL(1, store.grants);
     CPPUNIT_ASSERT_EQUAL(1, store.puts);
-    this->Tell();
+    this->NotifyListed();
     this->Run(60s);
     CPPUNIT_ASSERT_EQUAL(1, store.puts);
-    CPPUNIT_ASSERT(store.calls >= 3);  // It is renewed.
+    CPPUNIT_ASSERT(store.calls >= 3);  // The lease is renewed.
   }
 
-  void Keep_OwnEntryTakenOver_IsNotRenewed() {
-    leads = false;
+  void Tick_EntryTakenOver_IsNotRenewed() {
+    isLeader = false;
     this->Run(8s);
     const std::string key = settings.storePrefix + kOwnKey;
     store.items[key].revision = {100};
-    this->Tell();
+    this->NotifyListed();
     const int calls = store.calls;
     this->Run(60s);
     CPPUNIT_ASSERT_EQUAL(calls, store.calls);
   }
 
-  void Askers_OfTheDomain_AreWrittenTogether() {
+  void OnQueryFrom_SameDomain_IsWrittenInBatches() {
     this->Run(1s);
     const int calls = store.calls;
-    constexpr int kAskers = 200;
-    for (int i = 2; i < 2 + kAskers; ++i) {
-      controller->OnQueryFrom(Asker(i));
+    constexpr int kRequesters = 200;
+    for (int i = 2; i < 2 + kRequesters; ++i) {
+      registrar->OnQueryFrom(Requester(i));
     }
     this->Run(3s);
-    CPPUNIT_ASSERT_EQUAL(1 + kAskers, store.puts);
-    CPPUNIT_ASSERT(store.most <= 32);
+    CPPUNIT_ASSERT_EQUAL(1 + kRequesters, store.puts);
+    CPPUNIT_ASSERT(store.maxBatch <= 32);
     CPPUNIT_ASSERT(store.calls - calls <= 7);
     CPPUNIT_ASSERT_EQUAL(1, store.grants);
   }
 
-  void Askers_OfOtherDomains_AreNotWritten() {
+  void OnQueryFrom_OtherDomain_IsNotWritten() {
     this->Run(1s);
-    PeerName far = Asker(2);
-    far.failureDomain = "b";
-    controller->OnQueryFrom(far);
+    PeerName remote = Requester(2);
+    remote.failureDomain = "b";
+    registrar->OnQueryFrom(remote);
     this->Run(3s);
     CPPUNIT_ASSERT_EQUAL(1, store.puts);
   }
 
-  void Askers_WithAnEntryOfAnother_AreTakenOverLater() {
-    const std::string key = settings.storePrefix + DaemonEntry::KeyOf(Asker(2));
-    store.items[key] = {key, DaemonEntry::TextOf(Asker(2)), {4}};
-    this->Tell();
+  void OnQueryFrom_EntryOfOtherWriter_IsTakenOverLater() {
+    const std::string key =
+        settings.storePrefix + DaemonEntry::KeyOf(Requester(2));
+    store.items[key] = {key, DaemonEntry::TextOf(Requester(2)), {4}};
+    this->NotifyListed();
     this->Run(1s);
-    controller->OnQueryFrom(Asker(2));
+    registrar->OnQueryFrom(Requester(2));
     this->Run(5s);
     CPPUNIT_ASSERT_EQUAL(1, store.puts);
     this->Run(7s);
     CPPUNIT_ASSERT_EQUAL(2, store.puts);
   }
 
-  void Askers_AtANewAddress_AreWrittenAnew() {
+  void OnQueryFrom_ChangedAddress_IsRewritten() {
     this->Run(1s);
-    controller->OnQueryFrom(Asker(2));
+    registrar->OnQueryFrom(Requester(2));
     this->Run(1s);
-    this->Tell();
-    PeerName moved = Asker(2);
+    this->NotifyListed();
+    PeerName moved = Requester(2);
     moved.address = "h9:1";
-    controller->OnQueryFrom(moved);
+    registrar->OnQueryFrom(moved);
     this->Run(1s);
     CPPUNIT_ASSERT_EQUAL(
         DaemonEntry::TextOf(moved),
         store.items[settings.storePrefix + DaemonEntry::KeyOf(moved)].value);
   }
 
-  void Askers_ThatFallSilent_AreRemoved() {
+  void OnQueryFrom_NoFurtherQueries_EntryIsRemoved() {
     this->Run(1s);
-    controller->OnQueryFrom(Asker(2));
+    registrar->OnQueryFrom(Requester(2));
     this->Run(1s);
-    this->Tell();
+    this->NotifyListed();
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, store.items.size());
     this->Run(118s);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, store.items.size());
@@ -285,84 +288,85 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, store.items.size());
   }
 
-  void Entries_OwnOneGone_IsWrittenAgain() {
+  void OnEntries_OwnEntryMissing_IsRewritten() {
     this->Run(1s);
-    controller->OnEntries(listed);
+    registrar->OnEntries(listed);
     this->Run(1s);
     CPPUNIT_ASSERT_EQUAL(1, store.puts);
-    this->Tell();
-    CPPUNIT_ASSERT(controller->IsListed());
+    this->NotifyListed();
+    CPPUNIT_ASSERT(registrar->IsListed());
     store.items.clear();
-    this->Tell();
+    this->NotifyListed();
     this->Run(1s);
     CPPUNIT_ASSERT_EQUAL(2, store.puts);
   }
 
-  void Entries_GoneOfOneThatAsksNoMore_StayAway() {
+  void OnEntries_EntryRemoved_IsRewrittenOnlyOnQuery() {
     this->Run(1s);
-    controller->OnQueryFrom(Asker(2));
+    registrar->OnQueryFrom(Requester(2));
     this->Run(1s);
-    this->Tell();
-    store.items.erase(settings.storePrefix + DaemonEntry::KeyOf(Asker(2)));
-    this->Tell();
+    this->NotifyListed();
+    store.items.erase(settings.storePrefix + DaemonEntry::KeyOf(Requester(2)));
+    this->NotifyListed();
     this->Run(20s);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, store.items.size());
-    controller->OnQueryFrom(Asker(2));
+    registrar->OnQueryFrom(Requester(2));
     this->Run(1s);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, store.items.size());
   }
 
-  // Its lease is gone without a word for up to two minutes.
-  void Restored_Store_GetsTheEntryWithinASecond() {
+  // A restored store may have lost the lease, and a daemon would notice that
+  // only up to two minutes later.
+  void OnRestored_EntryLost_IsRewrittenWithinASecond() {
     this->Run(1s);
     store.items.clear();
-    this->Tell();
+    this->NotifyListed();
     Random random{7};
-    controller->OnRestored(random);
+    registrar->OnRestored(random);
     this->Run(1250ms);
     CPPUNIT_ASSERT_EQUAL(2, store.grants);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, store.items.size());
   }
 
-  void Restored_Store_IsNotWrittenByAllAtOnce() {
+  void OnRestored_ManyDaemons_SpreadTheirWrites() {
     constexpr int kDaemons = 300;
     Random random{7};
     std::vector<std::unique_ptr<EntryStore>> stores;
-    std::vector<std::unique_ptr<DaemonRegistrar>> keepers;
+    std::vector<std::unique_ptr<DaemonRegistrar>> registrars;
     for (int i = 0; i < kDaemons; ++i) {
       stores.push_back(std::make_unique<EntryStore>());
-      keepers.push_back(
+      registrars.push_back(
           std::make_unique<DaemonRegistrar>(settings, *stores.back(), clock));
-      keepers.back()->OnEntries(listed);
-      keepers.back()->Keep(true);
-      keepers.back()->OnRestored(random);
+      registrars.back()->OnEntries(listed);
+      registrars.back()->Tick(true);
+      registrars.back()->OnRestored(random);
     }
-    int most = 0;
+    int maxCalls = 0;
     for (int step = 0; step < 20; ++step) {
       int calls = 0;
-      for (std::size_t i = 0; i < keepers.size(); ++i) {
+      for (std::size_t i = 0; i < registrars.size(); ++i) {
         const int before = stores[i]->calls;
-        keepers[i]->Keep(true);
+        registrars[i]->Tick(true);
         calls += stores[i]->calls - before;
       }
-      most = std::max(most, calls);
+      maxCalls = std::max(maxCalls, calls);
       clock.Advance(50ms);
     }
-    CPPUNIT_ASSERT(most > 0);
-    CPPUNIT_ASSERT(most < kDaemons / 4);
+    CPPUNIT_ASSERT(maxCalls > 0);
+    CPPUNIT_ASSERT(maxCalls < kDaemons / 4);
   }
 
-  void End_EntryKept_IsTakenBackForGood() {
+  void Deregister_OwnEntry_IsRemovedForGood() {
     this->Run(1s);
-    this->Tell();
-    controller->End();
-    controller->End();
+    this->NotifyListed();
+    registrar->Deregister();
+    registrar->Deregister();
     CPPUNIT_ASSERT(store.items.empty());
-    this->Tell();
+    this->NotifyListed();
     const int calls = store.calls;
     this->Run(60s);
     CPPUNIT_ASSERT_EQUAL(calls, store.calls);
-    CPPUNIT_ASSERT(!controller->WantsEntry());
+    CPPUNIT_ASSERT(!registrar->NeedsEntry());
   }
 };
 
--- a/UnitTests/EdgePeerMessageTest.cpp
+++ b/UnitTests/EdgePeerMessageTest.cpp
@@ -9,18 +9,18 @@
 
 class EdgePeerMessageTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EdgePeerMessageTest);
-  CPPUNIT_TEST(Message_Work_ReadsAsWritten);
-  CPPUNIT_TEST(Message_Lists_ReadAsWritten);
-  CPPUNIT_TEST(Message_PackedList_ReadsAsWritten);
-  CPPUNIT_TEST(Message_PackedList_IsAFractionOfItsText);
-  CPPUNIT_TEST(Message_PackedListThatIsDamaged_HasNone);
-  CPPUNIT_TEST(Message_ThatLacksItsPackedEnd_IsRefused);
-  CPPUNIT_TEST(Message_PackedTextThatClaimsTooMuch_HasNone);
-  CPPUNIT_TEST(Message_Demand_ReadsAsWritten);
-  CPPUNIT_TEST(Message_Crashes_ReadAsWritten);
-  CPPUNIT_TEST(Message_Limits_ReadAsWritten);
-  CPPUNIT_TEST(Message_LimitThatIsNoNumber_IsNone);
-  CPPUNIT_TEST(Message_Cut_IsRefused);
+  CPPUNIT_TEST(Message_Work_RoundTrips);
+  CPPUNIT_TEST(Message_Lists_RoundTrip);
+  CPPUNIT_TEST(Message_PackedList_RoundTrips);
+  CPPUNIT_TEST(Message_PackedList_IsSixTimesSmaller);
+  CPPUNIT_TEST(Message_DamagedPackedList_IsDropped);
+  CPPUNIT_TEST(Message_MissingPackedParts_IsRejected);
+  CPPUNIT_TEST(Message_ExcessivePackedLength_IsDropped);
+  CPPUNIT_TEST(Message_Demand_RoundTrips);
+  CPPUNIT_TEST(Message_Crashes_RoundTrip);
+  CPPUNIT_TEST(Message_Limits_RoundTrip);
+  CPPUNIT_TEST(Message_NonFiniteLimit_IsNone);
+  CPPUNIT_TEST(Message_Truncated_IsRejected);
   CPPUNIT_TEST_SUITE_END();
 
   static SharedBytes Shared(std::string aBytes) {
@@ -38,7 +38,7 @@
   }
 
  public:
-  void Message_Work_ReadsAsWritten() {
+  void Message_Work_RoundTrips() {
     const std::uint64_t number = Hash64("i1");
     const auto message =
         ReadBack(WorkGossip{{{number, 1500, true, 4.5}, {7, 0.5}}});
@@ -47,26 +47,26 @@
     CPPUNIT_ASSERT_EQUAL(number, works[0].upstream);
     CPPUNIT_ASSERT_EQUAL(1500.0, works[0].work);
     CPPUNIT_ASSERT(works[0].isSuspect && !works[1].isSuspect);
-    CPPUNIT_ASSERT_EQUAL(4.5, works[0].pace);
-    CPPUNIT_ASSERT_EQUAL(1.0, works[1].pace);
+    CPPUNIT_ASSERT_EQUAL(4.5, works[0].slowdown);
+    CPPUNIT_ASSERT_EQUAL(1.0, works[1].slowdown);
   }
 
-  void Message_Demand_ReadsAsWritten() {
+  void Message_Demand_RoundTrips() {
     const auto message = ReadBack(DemandGossip{91'000});
     CPPUNIT_ASSERT_EQUAL(91'000.0, std::get<DemandGossip>(message.body).tokens);
   }
 
-  void Message_Crashes_ReadAsWritten() {
+  void Message_Crashes_RoundTrip() {
     const auto message = ReadBack(
         CrashGossip{{{RequestFingerprint{7}, 8}}, {RequestFingerprint{9}}});
-    const auto& told = std::get<CrashGossip>(message.body);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, told.crashes.size());
-    CPPUNIT_ASSERT(told.crashes[0].request == RequestFingerprint{7});
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{8}, told.crashes[0].upstream);
-    CPPUNIT_ASSERT(told.cleared == std::vector{RequestFingerprint{9}});
+    const auto& gossip = std::get<CrashGossip>(message.body);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, gossip.crashes.size());
+    CPPUNIT_ASSERT(gossip.crashes[0].request == RequestFingerprint{7});
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{8}, gossip.crashes[0].upstream);
+    CPPUNIT_ASSERT(gossip.cleared == std::vector{RequestFingerprint{9}});
   }
 
-  void Message_Limits_ReadAsWritten() {
+  void Message_Limits_RoundTrip() {
     const auto message =
         ReadBack(LimitGossip{{{7, 1.5, 20ms}, {8, std::nullopt, 30ms}}});
     const auto& limits = std::get<LimitGossip>(message.body).limits;
@@ -77,44 +77,47 @@
     CPPUNIT_ASSERT(!limits[1].callsPerSecond);
   }
 
-  void Message_LimitThatIsNoNumber_IsNone() {
-    constexpr double kNoNumber = std::numeric_limits<double>::quiet_NaN();
-    constexpr double kEndless = std::numeric_limits<double>::infinity();
+  void Message_NonFiniteLimit_IsNone() {
+    constexpr double kNan = std::numeric_limits<double>::quiet_NaN();
+    constexpr double kInfinity = std::numeric_limits<double>::infinity();
     const auto message =
-        ReadBack(LimitGossip{{{7, kNoNumber, -5ms}, {8, kEndless, 0ms}}});
-    for (const LimitNotice& one : std::get<LimitGossip>(message.body).limits) {
-      CPPUNIT_ASSERT(!one.callsPerSecond);
-      CPPUNIT_ASSERT(one.age >= Micros{0});
+        ReadBack(LimitGossip{{{7, kNan, -5ms}, {8, kInfinity, 0ms}}});
+    for (const LimitNotice& notice :
+         std::get<LimitGossip>(message.body).limits) {
+      CPPUNIT_ASSERT(!notice.callsPerSecond);
+      CPPUNIT_ASSERT(notice.age >= Micros{0});
     }
   }
 
-  void Message_Lists_ReadAsWritten() {
-    ClusterGive give;
-    give.era = 3;
-    give.question = 9;
-    give.copy.configVersion = 12;
-    ListUpdate& list = give.copy.upstreams.emplace();
+  void Message_Lists_RoundTrip() {
+    ClusterResponse response;
+    response.era = 3;
+    response.queryId = 9;
+    response.update.configVersion = 12;
+    ListUpdate& list = response.update.upstreams.emplace();
     list.at = {60, 3};
     list.isWhole = false;
     list.items = {{"i1", "text", {58, 3}}};
     list.removed = {"i2", "i3"};
     list.grace = 900ms;
     list.digest = 77;
-    const auto message = ReadBack(give);
-    const ClusterUpdate& copy = std::get<ClusterGive>(message.body).copy;
-    CPPUNIT_ASSERT(!copy.daemons);
-    CPPUNIT_ASSERT(!copy.validationAge && !copy.listsAge);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, copy.configVersion);
-    CPPUNIT_ASSERT(copy.upstreams->at == StoreRevision({60, 3}));
-    CPPUNIT_ASSERT(!copy.upstreams->isWhole);
-    CPPUNIT_ASSERT_EQUAL(std::string("text"), copy.upstreams->items[0].value);
-    CPPUNIT_ASSERT(copy.upstreams->items[0].revision == StoreRevision({58, 3}));
-    CPPUNIT_ASSERT_EQUAL(std::string("i3"), copy.upstreams->removed[1]);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{77}, copy.upstreams->digest);
-    CPPUNIT_ASSERT(copy.upstreams->grace == 900ms);
+    const auto message = ReadBack(response);
+    const ClusterUpdate& update =
+        std::get<ClusterResponse>(message.body).update;
+    CPPUNIT_ASSERT(!update.daemons);
+    CPPUNIT_ASSERT(!update.validationAge && !update.listsAge);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, update.configVersion);
+    CPPUNIT_ASSERT(update.upstreams->at == StoreRevision({60, 3}));
+    CPPUNIT_ASSERT(!update.upstreams->isWhole);
+    CPPUNIT_ASSERT_EQUAL(std::string("text"), update.upstreams->items[0].value);
+    CPPUNIT_ASSERT(update.upstreams->items[0].revision ==
+                   StoreRevision({58, 3}));
+    CPPUNIT_ASSERT_EQUAL(std::string("i3"), update.upstreams->removed[1]);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{77}, update.upstreams->digest);
+    CPPUNIT_ASSERT(update.upstreams->grace == 900ms);
   }
 
-  /// Entries of that many upstreams as they write them.
+  /// Entries of `aCount` upstreams in the platform's format.
   static ListUpdate Entries(int aCount) {
     ListUpdate list;
     list.at = {60, 3};
@@ -134,29 +137,30 @@
     return list;
   }
 
-  void Message_PackedList_ReadsAsWritten() {
-    ClusterGive give;
-    give.era = 3;
-    give.packedConfig = Shared(PackText("the configuration"));
-    give.packedUpstreams = Shared(PackList(Entries(100)));
-    give.packedDaemons = Shared(PackList(Entries(10)));
-    give.packedGrace = 700ms;
-    const auto message = ReadBack(give);
-    const auto& list = std::get<ClusterGive>(message.body).copy.upstreams;
+  void Message_PackedList_RoundTrips() {
+    ClusterResponse response;
+    response.era = 3;
+    response.packedConfig = Shared(PackText("the configuration"));
+    response.packedUpstreams = Shared(PackList(Entries(100)));
+    response.packedDaemons = Shared(PackList(Entries(10)));
+    response.packedGrace = 700ms;
+    const auto message = ReadBack(response);
+    const auto& list = std::get<ClusterResponse>(message.body).update.upstreams;
     CPPUNIT_ASSERT(list.has_value());
     CPPUNIT_ASSERT_EQUAL(std::size_t{100}, list->items.size());
     CPPUNIT_ASSERT_EQUAL(Entries(100).items[42].value, list->items[42].value);
     CPPUNIT_ASSERT(list->items[42].revision == StoreRevision({60, 3}));
     CPPUNIT_ASSERT(list->grace == 700ms);
-    const ClusterUpdate& copy = std::get<ClusterGive>(message.body).copy;
-    CPPUNIT_ASSERT_EQUAL(std::string("the configuration"), copy.configText);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{10}, copy.daemons->items.size());
+    const ClusterUpdate& update =
+        std::get<ClusterResponse>(message.body).update;
+    CPPUNIT_ASSERT_EQUAL(std::string("the configuration"), update.configText);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{10}, update.daemons->items.size());
   }
 
-  // All entries of 3,000 upstreams change as they get their layers: as text
-  // that is 1.2 MB for each of a hundred daemons, of which the first of a
-  // domain may send 2.5 MB a second.
-  void Message_PackedList_IsAFractionOfItsText() {
+  // All entries of 3,000 upstreams change when they are assigned layers.
+  // Uncompressed that is 1.2 MB for each of a hundred daemons, while the first
+  // daemon of a domain may send 2.5 MB per second.
+  void Message_PackedList_IsSixTimesSmaller() {
     const ListUpdate list = Entries(3000);
     std::size_t text = 0;
     for (const StoreItem& item : list.items) {
@@ -165,43 +169,45 @@
     CPPUNIT_ASSERT(PackList(list).size() < text / 6);
   }
 
-  void Message_PackedListThatIsDamaged_HasNone() {
-    const std::string whole = PackList(Entries(20));
-    for (std::size_t cut = 0; cut < whole.size(); cut += 7) {
-      ClusterGive give;
-      give.packedUpstreams = Shared(whole.substr(0, cut));
-      const auto message = ReadBack(give);
-      CPPUNIT_ASSERT(!std::get<ClusterGive>(message.body).copy.upstreams);
+  void Message_DamagedPackedList_IsDropped() {
+    const std::string packed = PackList(Entries(20));
+    for (std::size_t size = 0; size < packed.size(); size += 7) {
+      ClusterResponse response;
+      response.packedUpstreams = Shared(packed.substr(0, size));
+      const auto message = ReadBack(response);
+      CPPUNIT_ASSERT(!std::get<ClusterResponse>(message.body).update.upstreams);
     }
-    for (std::size_t at = 0; at < whole.size(); at += 5) {
-      ClusterGive give;
-      std::string damaged = whole;
-      damaged[at] ^= 0x55;
-      give.packedUpstreams = Shared(damaged);
-      ReadBack(give);  // None or another list, and no fault.
+    for (std::size_t offset = 0; offset < packed.size(); offset += 5) {
+      ClusterResponse response;
+      std::string damaged = packed;
+      damaged[offset] ^= 0x55;
+      response.packedUpstreams = Shared(damaged);
+      ReadBack(response);  // No list or another one, and no crash.
     }
   }
 
-  // What stands behind a message is told by its numbers of bytes alone.
-  void Message_ThatLacksItsPackedEnd_IsRefused() {
-    ClusterGive give;
-    give.packedConfig = Shared(std::string(1000, 'x'));
-    const PeerFrame text = WriteEdgePeerMessage({"d1", "h:1", give});
-    CPPUNIT_ASSERT_EQUAL(text.head.size() + 1000, text.Size());
-    CPPUNIT_ASSERT(!ReadEdgePeerMessage(text.head).has_value());
+  // The message locates its packed parts only by their sizes.
+  void Message_MissingPackedParts_IsRejected() {
+    ClusterResponse response;
+    response.packedConfig = Shared(std::string(1000, 'x'));
+    const PeerFrame frame = WriteEdgePeerMessage({"d1", "h:1", response});
+    CPPUNIT_ASSERT_EQUAL(frame.head.size() + 1000, frame.Size());
+    CPPUNIT_ASSERT(!ReadEdgePeerMessage(frame.head).has_value());
   }
 
-  // A text of some bytes that claims megabytes would be given their memory.
-  void Message_PackedTextThatClaimsTooMuch_HasNone() {
+  // Guards against allocating the megabytes that a packed text of a few bytes
+  // claims to have.
+  void Message_ExcessivePackedLength_IsDropped() {
     std::string packed = PackText("the configuration");
     packed[3] = 2;
-    ClusterGive give;
-    give.packedConfig = Shared(packed);
-    const auto message = ReadBack(give);
-    CPPUNIT_ASSERT(std::get<ClusterGive>(message.body).copy.configText.empty());
+    ClusterResponse response;
+    response.packedConfig = Shared(packed);
+    const auto message = ReadBack(response);
+    CPPUNIT_ASSERT(
+        std::get<ClusterResponse>(message.body).update.configText.empty());
   }
 
-  void Message_Cut_IsRefused() {
+  void Message_Truncated_IsRejected() {
     const std::string text =
         WriteEdgePeerMessage(
             {"d1", "10.0.0.1:7000", WorkGossip{{{1, 2, false, 1}}}})
--- a/UnitTests/EdgeSettingsTest.cpp
+++ b/UnitTests/EdgeSettingsTest.cpp
@@ -7,16 +7,17 @@
 
 class EdgeSettingsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EdgeSettingsTest);
-  CPPUNIT_TEST(LongestReliance_UsualNotice_LeavesTimeToAskTheStore);
-  CPPUNIT_TEST(LongestReliance_ShortNotice_LeavesTimeForAnAnswer);
+  CPPUNIT_TEST(MaxSyncStaleness_DefaultNotice_LeavesTimeToQueryStore);
+  CPPUNIT_TEST(MaxSyncStaleness_ShortNotice_LeavesTimeForResponse);
   CPPUNIT_TEST_SUITE_END();
 
   EdgeSettings settings;
 
  public:
-  // tavua-orders, trouble-1 seed 151092778697: a request reached an upstream
-  // 2,012 ms after the word that it leaves; a list was relied on for 1.7 s.
-  void LongestReliance_UsualNotice_LeavesTimeToAskTheStore() {
+  // Found by trouble-1 of tavua-orders, seed 151092778697: a request reached an
+  // upstream 2,012 ms after the upstream announced its departure, because a
+  // list was used until it was 1.7 s old.
+  void MaxSyncStaleness_DefaultNotice_LeavesTimeToQueryStore() {
     settings.drainNotice = 2s;
     CPPUNIT_ASSERT(MaxSyncStaleness(settings) <= 1400ms);
     settings.drainNotice = 3s;
@@ -24,7 +25,7 @@
     CPPUNIT_ASSERT(MaxSyncStaleness(settings) >= 2s);
   }
 
-  void LongestReliance_ShortNotice_LeavesTimeForAnAnswer() {
+  void MaxSyncStaleness_ShortNotice_LeavesTimeForResponse() {
     settings.drainNotice = 500ms;
     CPPUNIT_ASSERT(MaxSyncStaleness(settings) >= 1s);
   }
--- a/UnitTests/FleetStartTest.cpp
+++ b/UnitTests/FleetStartTest.cpp
@@ -10,7 +10,8 @@
 namespace zincstep {
 namespace {
 
-/// A store that answers at once, and whose changes all daemons hear of late.
+/// A store that completes calls at once; the daemons are notified of its
+/// changes later.
 class SharedStore final : public AsyncStore {
  public:
   void Range(const std::string&, Done<StoreRange>) override {}
@@ -46,13 +47,13 @@
   StoreRevision revision;
 };
 
-/// The daemons of a fleet with the parts of each that find out who is there, in
-/// steps of time; what they tell each other comes a step later.
+/// Simulates the discovery of a fleet of daemons in discrete time steps.
+/// Messages arrive one step after they are sent.
 class Fleet {
  public:
   static constexpr Micros kStep = 50ms;
   static constexpr int kDomains = 5;
-  static constexpr int kStrongOfDomain = 2;
+  static constexpr int kFastPerDomain = 2;
 
   explicit Fleet(int aDaemons) : random(aDaemons) {
     this->daemons.resize(static_cast<std::size_t>(aDaemons));
@@ -62,19 +63,19 @@
       settings.peerListen = "h" + std::to_string(i) + ":1";
       settings.storePrefix = "";
       settings.failureDomain = "domain-" + std::to_string(i % kDomains);
-      const bool isStrong =
-          i >= this->daemons.size() - kDomains * kStrongOfDomain;
-      settings.linkMbps = isStrong ? 1000 : 20;
+      const bool hasFastLink =
+          i >= this->daemons.size() - kDomains * kFastPerDomain;
+      settings.linkMbps = hasFastLink ? 1000 : 20;
       this->byAddress[settings.peerListen] = i;
     }
   }
 
-  /// All processes start, within a third of a second.
+  /// Starts all processes within a third of a second.
   void StartAll() {
     this->messages.clear();
     for (Daemon& daemon : this->daemons) {
       daemon.members.reset();
-      daemon.entries.reset();
+      daemon.registrar.reset();
       daemon.startsAt = this->clock.Now() + FromSeconds(0.3 * random.Unit());
     }
   }
@@ -87,30 +88,29 @@
       for (std::size_t i = 0; i < this->daemons.size(); ++i) {
         this->Step(i);
       }
-      this->Watch();
+      this->NotifyChanges();
     }
   }
 
   SharedStore store;
-  /// Most daemons of one failure domain that were to ask the store at once, and
-  /// all that ever were.
-  int mostAskers = 0;
-  std::set<std::size_t> askers;
+  /// Maximum number of daemons of one failure domain that read the store at the
+  /// same time, and all daemons that ever did.
+  int maxReaders = 0;
+  std::set<std::size_t> readers;
 
-  /// Daemons whose teller is the first of their domain, and those whose link is
-  /// the larger one among the first.
-  int AllRelyOnStrong() const {
+  /// Number of daemons that have a fast link or a sync source.
+  int CountFastOrSynced() const {
     int count = 0;
     for (const Daemon& daemon : this->daemons) {
-      const bool isStrong = daemon.settings.linkMbps > 100;
-      count += isStrong || daemon.members->HasSyncSource() ? 1 : 0;
+      const bool hasFastLink = daemon.settings.linkMbps > 100;
+      count += hasFastLink || daemon.members->HasSyncSource() ? 1 : 0;
     }
     return count;
   }
-  int Askers() const {
+  int CountReaders() const {
     int count = 0;
     for (const Daemon& daemon : this->daemons) {
-      count += Asks(daemon) ? 1 : 0;
+      count += ReadsStore(daemon) ? 1 : 0;
     }
     return count;
   }
@@ -121,55 +121,55 @@
     EdgeSettings settings;
     Instant startsAt{};
     std::unique_ptr<PeerMembers> members;
-    std::unique_ptr<DaemonRegistrar> entries;
-    Instant nextTellers{};
+    std::unique_ptr<DaemonRegistrar> registrar;
+    Instant nextSyncQuery{};
     bool isFresh = false;
     bool hasList = false;
-    StoreRevision toldAt;
+    StoreRevision listRevision;
   };
 
-  /// Whether a daemon asks the store now.
-  static bool Asks(const Daemon& aDaemon) {
+  /// Whether a daemon reads the store now.
+  static bool ReadsStore(const Daemon& aDaemon) {
     return aDaemon.members && aDaemon.members->MayQueryStore() &&
            !aDaemon.members->HasFreshSyncSource();
   }
 
-  enum class Kind { AskNames, Names, AskNews, News };
+  enum class Kind { QueryMembers, Members, QueryUpdates, Updates };
   struct Message {
     Kind kind;
     std::size_t from;
     std::size_t to;
-    std::vector<PeerName> names;
+    std::vector<PeerName> peers;
     bool isFresh = false;
   };
 
-  PeerName NameOf(std::size_t aDaemon) const {
+  PeerName PeerNameOf(std::size_t aDaemon) const {
     const EdgeSettings& settings = this->daemons[aDaemon].settings;
     return {settings.name, settings.peerListen, settings.failureDomain,
             settings.linkMbps};
   }
 
-  std::vector<StoreItem> EarlyEntries(const std::string& aDomain) const {
-    std::vector<StoreItem> early;
+  std::vector<StoreItem> BootstrapEntries(const std::string& aDomain) const {
+    std::vector<StoreItem> bootstrap;
     const std::string prefix = DaemonEntry::PrefixOf(aDomain);
     for (const auto& [key, item] : this->store.items) {
       if (key.starts_with(prefix)) {
-        early.push_back(item);
+        bootstrap.push_back(item);
       }
     }
-    return early;
+    return bootstrap;
   }
 
-  void Begin(Daemon& aDaemon) {
+  void StartDaemon(Daemon& aDaemon) {
     aDaemon.members =
         std::make_unique<PeerMembers>(aDaemon.settings, this->clock);
-    aDaemon.entries = std::make_unique<DaemonRegistrar>(
+    aDaemon.registrar = std::make_unique<DaemonRegistrar>(
         aDaemon.settings, this->store, this->clock);
     aDaemon.members->OnBootstrapEntries(
-        this->EarlyEntries(aDaemon.settings.failureDomain));
+        this->BootstrapEntries(aDaemon.settings.failureDomain));
     aDaemon.isFresh = false;
     aDaemon.hasList = false;
-    aDaemon.toldAt = {};
+    aDaemon.listRevision = {};
   }
 
   void Deliver() {
@@ -180,39 +180,40 @@
       if (!daemon.members) {
         continue;
       }
-      const std::string from = this->NameOf(message.from).address;
+      const std::string from = this->PeerNameOf(message.from).address;
       switch (message.kind) {
-        case Kind::AskNames:
-        case Kind::AskNews:
-          this->OnAsked(message, daemon);
+        case Kind::QueryMembers:
+        case Kind::QueryUpdates:
+          this->OnQuery(message, daemon);
           break;
-        case Kind::Names:
-          daemon.members->OnPeersDiscovered(message.names);
+        case Kind::Members:
+          daemon.members->OnPeersDiscovered(message.peers);
           break;
-        case Kind::News:
-          daemon.members->OnAnswer(from, message.isFresh
-                                             ? std::optional<Micros>(0ms)
-                                             : std::nullopt);
+        case Kind::Updates:
+          daemon.members->OnResponse(from, message.isFresh
+                                               ? std::optional<Micros>(0ms)
+                                               : std::nullopt);
           daemon.isFresh = daemon.isFresh || message.isFresh;
           break;
       }
     }
   }
 
-  void OnAsked(const Message& aMessage, Daemon& aDaemon) {
-    const PeerName asker = this->NameOf(aMessage.from);
-    aDaemon.members->OnQueryFrom(asker);
-    aDaemon.entries->OnQueryFrom(asker);
-    const bool isNames = aMessage.kind == Kind::AskNames;
-    Message answer{isNames ? Kind::Names : Kind::News,
-                   aMessage.to,
-                   aMessage.from,
-                   {},
-                   aDaemon.isFresh};
-    if (isNames) {
-      answer.names = aDaemon.members->FirstOf(asker.failureDomain, asker.name);
+  void OnQuery(const Message& aMessage, Daemon& aDaemon) {
+    const PeerName requester = this->PeerNameOf(aMessage.from);
+    aDaemon.members->OnQueryFrom(requester);
+    aDaemon.registrar->OnQueryFrom(requester);
+    const bool requestsMembers = aMessage.kind == Kind::QueryMembers;
+    Message response{requestsMembers ? Kind::Members : Kind::Updates,
+                     aMessage.to,
+                     aMessage.from,
+                     {},
+                     aDaemon.isFresh};
+    if (requestsMembers) {
+      response.peers = aDaemon.members->HighestRanked(requester.failureDomain,
+                                                      requester.name);
     }
-    this->messages.push_back(std::move(answer));
+    this->messages.push_back(std::move(response));
   }
 
   void Step(std::size_t aNumber) {
@@ -222,59 +223,62 @@
       if (now < daemon.startsAt) {
         return;
       }
-      this->Begin(daemon);
+      this->StartDaemon(daemon);
     }
-    if (Asks(daemon)) {
-      this->askers.insert(aNumber);
+    if (ReadsStore(daemon)) {
+      this->readers.insert(aNumber);
       daemon.isFresh = true;
     }
     if (this->steps % 5 == aNumber % 5) {
-      daemon.entries->Keep(daemon.members->IsDomainLeader());
+      daemon.registrar->Tick(daemon.members->IsDomainLeader());
     }
-    if (now >= daemon.nextTellers) {
-      daemon.nextTellers = now + (daemon.isFresh ? 250ms : 100ms);
+    if (now >= daemon.nextSyncQuery) {
+      daemon.nextSyncQuery = now + (daemon.isFresh ? 250ms : 100ms);
       for (const std::string& address :
            daemon.members->NextSyncSources(daemon.isFresh ? 3 : 10)) {
         this->messages.push_back(
-            {Kind::AskNews, aNumber, this->byAddress.at(address), {}});
+            {Kind::QueryUpdates, aNumber, this->byAddress.at(address), {}});
       }
     }
     if (!daemon.isFresh && !daemon.members->HasSyncSource() &&
         this->steps % 2 == 0) {
       for (std::size_t seed = 0; seed < 3; ++seed) {
         if (seed != aNumber) {
-          this->messages.push_back({Kind::AskNames, aNumber, seed, {}});
+          this->messages.push_back({Kind::QueryMembers, aNumber, seed, {}});
         }
       }
     }
   }
 
-  /// What the store holds is told each half second.
-  void Watch() {
+  /// Sends the store's changes to the daemons every half second and counts the
+  /// current readers.
+  void NotifyChanges() {
     if (this->steps % 10 == 0) {
       for (const auto& [key, item] : this->store.items) {
         const std::string domain =
-            DaemonEntry::Read(key, item.value)->failureDomain;
-        this->told[domain].Put(item);
+            DaemonEntry::Parse(key, item.value)->failureDomain;
+        this->lists[domain].Put(item);
       }
       for (Daemon& daemon : this->daemons) {
-        ItemList& list = this->told[daemon.settings.failureDomain];
+        ItemList& list = this->lists[daemon.settings.failureDomain];
         list.Advance(this->store.revision);
-        const bool isNews = !daemon.hasList || daemon.toldAt < list.At();
-        if (daemon.members && daemon.isFresh && isNews) {
+        const bool hasChanged =
+            !daemon.hasList || daemon.listRevision < list.At();
+        if (daemon.members && daemon.isFresh && hasChanged) {
           daemon.hasList = true;
-          daemon.members->OnEntries(list.UpdateSince(daemon.toldAt));
-          daemon.entries->OnEntries(list.Items());
-          daemon.toldAt = list.At();
+          daemon.members->OnEntries(list.UpdateSince(daemon.listRevision));
+          daemon.registrar->OnEntries(list.Items());
+          daemon.listRevision = list.At();
         }
       }
     }
-    std::array<int, kDomains> now{};
+    std::array<int, kDomains> readersOf{};
     for (std::size_t i = 0; i < this->daemons.size(); ++i) {
-      now[i % kDomains] += Asks(this->daemons[i]) ? 1 : 0;
+      readersOf[i % kDomains] += ReadsStore(this->daemons[i]) ? 1 : 0;
     }
-    this->mostAskers =
-        std::max(this->mostAskers, *std::max_element(now.begin(), now.end()));
+    this->maxReaders =
+        std::max(this->maxReaders,
+                 *std::max_element(readersOf.begin(), readersOf.end()));
   }
 
   FakeClock clock;
@@ -282,64 +286,65 @@
   std::vector<Daemon> daemons;
   std::map<std::string, std::size_t> byAddress;
   std::deque<Message> messages;
-  /// Each failure domain's daemons as all of it hear of them.
-  std::map<std::string, ItemList> told;
+  /// The entries of each failure domain that its daemons are notified of.
+  std::map<std::string, ItemList> lists;
   std::size_t steps = 0;
 };
 
-/// Hundreds of daemons that start together: what they ask of the store has to
-/// grow with failure domains and entries, not with daemons.
+/// Starts hundreds of daemons together: their calls of the store have to grow
+/// with the failure domains and entries, not with the daemons.
 class FleetStartTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FleetStartTest);
-  CPPUNIT_TEST(FirstStart_OfManyDaemons_AsksTheStoreByFew);
-  CPPUNIT_TEST(SecondStart_OfManyDaemons_WritesLittle);
+  CPPUNIT_TEST(FirstStart_ManyDaemons_FewReadTheStore);
+  CPPUNIT_TEST(Restart_ManyDaemons_WritesLittle);
   CPPUNIT_TEST_SUITE_END();
 
-  /// Calls for so many entries: a lease for each domain, 32 entries a call, and
-  /// as much again for entries that come late.
-  static int MostCalls(std::size_t aDaemons) {
+  /// Maximum calls for this many entries: leases for each domain and 32 entries
+  /// per call, doubled for entries that arrive late.
+  static int MaxCalls(std::size_t aDaemons) {
     return 2 *
            static_cast<int>(Fleet::kDomains + Fleet::kDomains + aDaemons / 32);
   }
 
  public:
-  // 985 daemons made 38,000 calls, most of them refused, and each wrote its
-  // entry by itself.
-  void FirstStart_OfManyDaemons_AsksTheStoreByFew() {
+  // Guards against 38,000 calls at the start of 985 daemons, most of which were
+  // rejected; each daemon wrote its own entry.
+  void FirstStart_ManyDaemons_FewReadTheStore() {
     for (const int size : {30, 100, 300, 1000, 2000}) {
       Fleet fleet(size);
       fleet.StartAll();
       fleet.Run(5s);
       const std::string message =
-          "daemons " + std::to_string(size) + ", askers " +
-          std::to_string(fleet.askers.size()) + ", calls " +
+          "daemons " + std::to_string(size) + ", readers " +
+          std::to_string(fleet.readers.size()) + ", calls " +
           std::to_string(fleet.store.calls);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(message, fleet.Size(),
                                    fleet.store.items.size());
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(message, Fleet::kDomains, fleet.Askers());
-      CPPUNIT_ASSERT_MESSAGE(message, fleet.mostAskers <= 2);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(message, Fleet::kDomains,
+                                   fleet.CountReaders());
+      CPPUNIT_ASSERT_MESSAGE(message, fleet.maxReaders <= 2);
       CPPUNIT_ASSERT_MESSAGE(message,
-                             fleet.askers.size() <= 2 * Fleet::kDomains);
-      CPPUNIT_ASSERT_MESSAGE(message, fleet.store.calls <= MostCalls(size));
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(message, size, fleet.AllRelyOnStrong());
+                             fleet.readers.size() <= 2 * Fleet::kDomains);
+      CPPUNIT_ASSERT_MESSAGE(message, fleet.store.calls <= MaxCalls(size));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(message, size, fleet.CountFastOrSynced());
     }
   }
 
-  // After the end of all daemons their entries still stand in the store.
-  void SecondStart_OfManyDaemons_WritesLittle() {
+  // The entries are still stored after all daemons have stopped.
+  void Restart_ManyDaemons_WritesLittle() {
     for (const int size : {400, 1000}) {
       Fleet fleet(size);
       fleet.StartAll();
       fleet.Run(5s);
       const int before = fleet.store.calls;
-      fleet.askers.clear();
+      fleet.readers.clear();
       fleet.StartAll();
       fleet.Run(3s);
-      CPPUNIT_ASSERT_EQUAL(Fleet::kDomains, fleet.Askers());
-      CPPUNIT_ASSERT(fleet.askers.size() <= 2 * Fleet::kDomains);
+      CPPUNIT_ASSERT_EQUAL(Fleet::kDomains, fleet.CountReaders());
+      CPPUNIT_ASSERT(fleet.readers.size() <= 2 * Fleet::kDomains);
       CPPUNIT_ASSERT_EQUAL(before, fleet.store.calls);
       fleet.Run(15s);
-      CPPUNIT_ASSERT(fleet.store.calls - before <= MostCalls(size));
+      CPPUNIT_ASSERT(fleet.store.calls - before <= MaxCalls(size));
     }
   }
 };
--- a/UnitTests/PackedListsTest.cpp
+++ b/UnitTests/PackedListsTest.cpp
@@ -7,9 +7,9 @@
 
 class PackedListsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PackedListsTest);
-  CPPUNIT_TEST(Find_SameStateAndAsker_IsWhatWasPacked);
-  CPPUNIT_TEST(Find_OtherStateOrAsker_IsNone);
-  CPPUNIT_TEST(Add_ManyAskers_KeepsFew);
+  CPPUNIT_TEST(Find_SameRevisions_ReturnsCachedList);
+  CPPUNIT_TEST(Find_OtherRevisions_ReturnsNull);
+  CPPUNIT_TEST(Add_ManyRevisions_CachesFew);
   CPPUNIT_TEST_SUITE_END();
 
   PackedLists lists;
@@ -23,14 +23,14 @@
   }
 
  public:
-  void Find_SameStateAndAsker_IsWhatWasPacked() {
+  void Find_SameRevisions_ReturnsCachedList() {
     lists.Add({5, 1}, ListAt(9));
     const PackedList* found = lists.Find({5, 1}, {9, 1});
     CPPUNIT_ASSERT(found != nullptr);
-    CPPUNIT_ASSERT(!found->isWhole);
+    CPPUNIT_ASSERT(!found->isFull);
   }
 
-  void Find_OtherStateOrAsker_IsNone() {
+  void Find_OtherRevisions_ReturnsNull() {
     lists.Add({5, 1}, ListAt(9));
     CPPUNIT_ASSERT(lists.Find({6, 1}, {9, 1}) == nullptr);
     CPPUNIT_ASSERT(lists.Find({5, 1}, {9, 2}) == nullptr);
@@ -38,15 +38,15 @@
     CPPUNIT_ASSERT(lists.Find({5, 1}, {9, 1}) == nullptr);
   }
 
-  void Add_ManyAskers_KeepsFew() {
+  void Add_ManyRevisions_CachesFew() {
     for (std::uint64_t since = 1; since < 1000; ++since) {
       lists.Add({since, 1}, ListAt(2000));
     }
-    int kept = 0;
+    int cached = 0;
     for (std::uint64_t since = 1; since < 1000; ++since) {
-      kept += lists.Find({since, 1}, {2000, 1}) != nullptr ? 1 : 0;
+      cached += lists.Find({since, 1}, {2000, 1}) != nullptr ? 1 : 0;
     }
-    CPPUNIT_ASSERT(kept > 0 && kept <= 64);
+    CPPUNIT_ASSERT(cached > 0 && cached <= 64);
   }
 };
 
--- a/UnitTests/PeerMembersTest.cpp
+++ b/UnitTests/PeerMembersTest.cpp
@@ -7,27 +7,27 @@
 
 class PeerMembersTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PeerMembersTest);
-  CPPUNIT_TEST(Teller_FirstOfTheDomain_IsTheOnlyOneAsked);
-  CPPUNIT_TEST(Teller_ThatDoesNotAnswer_IsPassedOverForTheNext);
-  CPPUNIT_TEST(Teller_PassedOver_IsTriedAgainAndTakenBack);
-  CPPUNIT_TEST(Teller_OfAnotherDomain_IsNotAsked);
-  CPPUNIT_TEST(Teller_OfALargerLink_ComesFirst);
-  CPPUNIT_TEST(Teller_ThatKnowsNothingFresh_IsPassedOverForTheNext);
-  CPPUNIT_TEST(Teller_AllPassedOver_AreTriedOneAtATime);
-  CPPUNIT_TEST(MayRely_OnFreshLists_UntilTheyAreOld);
-  CPPUNIT_TEST(MayRely_OnListsThatWereOldWhenTold_IsFalse);
-  CPPUNIT_TEST(Entries_OfAnotherProcess_StartAnew);
-  CPPUNIT_TEST(Entries_ThatDoNotParse_AreLeftOut);
-  CPPUNIT_TEST(Restored_MembersThatTheCopyLacks_AreKeptForAWhile);
-  CPPUNIT_TEST(Entries_OfOneThatHasJustAsked_AreNotNeeded);
-  CPPUNIT_TEST(AskStore_FirstOfTheDomain_OnceItKnowsWhoIsThere);
-  CPPUNIT_TEST(AskStore_OneOfFew_Always);
-  CPPUNIT_TEST(AskStore_OneOfMany_OnlyWhenNobodyAnswers);
-  CPPUNIT_TEST(AskStore_StoreAwayForAll_SpreadsSlowly);
-  CPPUNIT_TEST(AskStore_Alone_AtOnce);
-  CPPUNIT_TEST(AskStore_NobodyHeard_ApartFromOthers);
-  CPPUNIT_TEST(AskStore_ListedInAnEarlierLife_AtOnce);
-  CPPUNIT_TEST(First_OfADomain_AreNamedWithoutTheAsker);
+  CPPUNIT_TEST(SyncSource_FirstOfDomain_IsTheOnlyOneQueried);
+  CPPUNIT_TEST(SyncSource_NoResponse_IsSkipped);
+  CPPUNIT_TEST(SyncSource_Skipped_IsRetriedAndReinstated);
+  CPPUNIT_TEST(SyncSource_OtherDomain_IsNotQueried);
+  CPPUNIT_TEST(SyncSource_FasterLink_RanksFirst);
+  CPPUNIT_TEST(SyncSource_StaleLists_IsSkipped);
+  CPPUNIT_TEST(SyncSource_AllSkipped_AreRetriedOneAtATime);
+  CPPUNIT_TEST(HasFreshSyncSource_FreshLists_UntilTheyAreStale);
+  CPPUNIT_TEST(HasFreshSyncSource_ListsStaleOnArrival_IsFalse);
+  CPPUNIT_TEST(OnEntries_OtherProcess_ResetsState);
+  CPPUNIT_TEST(OnEntries_MalformedEntries_AreIgnored);
+  CPPUNIT_TEST(OnRestored_MissingMembers_AreRetainedForAWhile);
+  CPPUNIT_TEST(OnQueryFrom_UnlistedPeer_IsMember);
+  CPPUNIT_TEST(MayQueryStore_FirstOfDomain_AfterDiscovery);
+  CPPUNIT_TEST(MayQueryStore_SmallDomain_Always);
+  CPPUNIT_TEST(MayQueryStore_LargeDomain_OnlyWithoutResponses);
+  CPPUNIT_TEST(MayQueryStore_StoreUnavailableForAll_SpreadsSlowly);
+  CPPUNIT_TEST(MayQueryStore_NoPeers_AtOnce);
+  CPPUNIT_TEST(MayQueryStore_NoResponses_IsJittered);
+  CPPUNIT_TEST(MayQueryStore_ListedBeforeRestart_AtOnce);
+  CPPUNIT_TEST(HighestRanked_OfDomain_ExcludesRequester);
   CPPUNIT_TEST_SUITE_END();
 
   FakeClock clock;
@@ -45,12 +45,12 @@
   }
 
   void Put(const std::vector<StoreItem>& aItems) {
-    ListUpdate whole;
-    whole.items = aItems;
-    members->OnEntries(whole);
+    ListUpdate list;
+    list.items = aItems;
+    members->OnEntries(list);
   }
 
-  std::string Asked() {
+  std::string Queried() {
     std::string text;
     for (const std::string& address : members->NextSyncSources()) {
       text += address + " ";
@@ -59,8 +59,8 @@
   }
 
  public:
-  // Each daemon would be the first of its domain, and read all lists.
-  void Restored_MembersThatTheCopyLacks_AreKeptForAWhile() {
+  // Otherwise each daemon would rank first in its domain and read all lists.
+  void OnRestored_MissingMembers_AreRetainedForAWhile() {
     members->OnRestored();
     this->Put({});
     CPPUNIT_ASSERT(members->HasSyncSource());
@@ -78,80 +78,82 @@
     clock.Advance(60s);
   }
 
-  void Teller_FirstOfTheDomain_IsTheOnlyOneAsked() {
+  void SyncSource_FirstOfDomain_IsTheOnlyOneQueried() {
     CPPUNIT_ASSERT(members->HasSyncSource());
-    CPPUNIT_ASSERT_EQUAL(std::string("h1:1 "), this->Asked());
+    CPPUNIT_ASSERT_EQUAL(std::string("h1:1 "), this->Queried());
   }
 
-  void Teller_ThatDoesNotAnswer_IsPassedOverForTheNext() {
+  void SyncSource_NoResponse_IsSkipped() {
     for (int i = 0; i < 3; ++i) {
-      CPPUNIT_ASSERT_EQUAL(std::string("h1:1 "), this->Asked());
+      CPPUNIT_ASSERT_EQUAL(std::string("h1:1 "), this->Queried());
     }
-    CPPUNIT_ASSERT_EQUAL(std::string("h2:1 "), this->Asked());
+    CPPUNIT_ASSERT_EQUAL(std::string("h2:1 "), this->Queried());
   }
 
-  void Teller_PassedOver_IsTriedAgainAndTakenBack() {
+  void SyncSource_Skipped_IsRetriedAndReinstated() {
     for (int i = 0; i < 4; ++i) {
-      this->Asked();
+      this->Queried();
     }
     clock.Advance(2s);
-    CPPUNIT_ASSERT_EQUAL(std::string("h1:1 h2:1 "), this->Asked());
-    members->OnAnswer("h1:1", 100ms);
-    CPPUNIT_ASSERT_EQUAL(std::string("h1:1 "), this->Asked());
+    CPPUNIT_ASSERT_EQUAL(std::string("h1:1 h2:1 "), this->Queried());
+    members->OnResponse("h1:1", 100ms);
+    CPPUNIT_ASSERT_EQUAL(std::string("h1:1 "), this->Queried());
   }
 
-  void Teller_OfAnotherDomain_IsNotAsked() {
+  void SyncSource_OtherDomain_IsNotQueried() {
     this->Put({Entry("d0", "b", "h0:1"), Entry("d4", "a", "h4:1")});
     CPPUNIT_ASSERT(!members->HasSyncSource());
-    CPPUNIT_ASSERT_EQUAL(std::string(), this->Asked());
+    CPPUNIT_ASSERT_EQUAL(std::string(), this->Queried());
   }
 
-  // The first tells two hundred: it must not be one of 20 Mbit/s.
-  void Teller_OfALargerLink_ComesFirst() {
+  // The first daemon sends to two hundred others, so it must not have a link of
+  // 20 Mbit/s.
+  void SyncSource_FasterLink_RanksFirst() {
     settings.linkMbps = 20;
     members = std::make_unique<PeerMembers>(settings, clock);
     this->Put({Entry("d1", "a", "h1:1", 20), Entry("d9", "a", "h9:1", 1000),
                Entry("d4", "a", "h4:1", 20)});
-    CPPUNIT_ASSERT_EQUAL(std::string("h9:1 "), this->Asked());
+    CPPUNIT_ASSERT_EQUAL(std::string("h9:1 "), this->Queried());
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, members->Rank());
   }
 
-  // 200 daemons whose first one the store turned away each read all lists.
-  void Teller_ThatKnowsNothingFresh_IsPassedOverForTheNext() {
+  // Guards against 200 daemons that each read all lists because the store
+  // rejected the calls of their first one.
+  void SyncSource_StaleLists_IsSkipped() {
     for (int i = 0; i < 3; ++i) {
-      CPPUNIT_ASSERT_EQUAL(std::string("h1:1 "), this->Asked());
-      members->OnAnswer("h1:1", 3s);
+      CPPUNIT_ASSERT_EQUAL(std::string("h1:1 "), this->Queried());
+      members->OnResponse("h1:1", 3s);
     }
-    CPPUNIT_ASSERT_EQUAL(std::string("h2:1 "), this->Asked());
+    CPPUNIT_ASSERT_EQUAL(std::string("h2:1 "), this->Queried());
     CPPUNIT_ASSERT(members->HasSyncSource());
-    members->OnAnswer("h1:1", 100ms);
-    CPPUNIT_ASSERT_EQUAL(std::string("h1:1 "), this->Asked());
+    members->OnResponse("h1:1", 100ms);
+    CPPUNIT_ASSERT_EQUAL(std::string("h1:1 "), this->Queried());
   }
 
-  void Teller_AllPassedOver_AreTriedOneAtATime() {
+  void SyncSource_AllSkipped_AreRetriedOneAtATime() {
     for (int i = 0; i < 7; ++i) {
-      this->Asked();
+      this->Queried();
     }
     CPPUNIT_ASSERT(!members->HasSyncSource());
     clock.Advance(2s);
-    CPPUNIT_ASSERT_EQUAL(std::string("h1:1 "), this->Asked());
-    CPPUNIT_ASSERT_EQUAL(std::string("h2:1 "), this->Asked());
-    CPPUNIT_ASSERT_EQUAL(std::string(), this->Asked());
+    CPPUNIT_ASSERT_EQUAL(std::string("h1:1 "), this->Queried());
+    CPPUNIT_ASSERT_EQUAL(std::string("h2:1 "), this->Queried());
+    CPPUNIT_ASSERT_EQUAL(std::string(), this->Queried());
   }
 
-  void Entries_OfOneThatHasJustAsked_AreNotNeeded() {
+  void OnQueryFrom_UnlistedPeer_IsMember() {
     this->Put({});
     CPPUNIT_ASSERT(!members->HasSyncSource());
     members->OnQueryFrom({"d1", "h1:1", "a", 1000});
-    CPPUNIT_ASSERT_EQUAL(std::string("h1:1 "), this->Asked());
+    CPPUNIT_ASSERT_EQUAL(std::string("h1:1 "), this->Queried());
     this->Put({});
     CPPUNIT_ASSERT(members->HasSyncSource());
     clock.Advance(11s);
-    this->Asked();
+    this->Queried();
     CPPUNIT_ASSERT(!members->HasSyncSource());
   }
 
-  void AskStore_FirstOfTheDomain_OnceItKnowsWhoIsThere() {
+  void MayQueryStore_FirstOfDomain_AfterDiscovery() {
     members = std::make_unique<PeerMembers>(settings, clock);
     clock.Advance(500ms);
     CPPUNIT_ASSERT(!members->MayQueryStore());
@@ -163,12 +165,12 @@
     CPPUNIT_ASSERT(!members->MayQueryStore());
   }
 
-  void AskStore_OneOfFew_Always() {
+  void MayQueryStore_SmallDomain_Always() {
     this->Put({Entry("d1", "a", "h1:1"), Entry("d3", "a", "h3:1")});
     CPPUNIT_ASSERT(members->MayQueryStore());
   }
 
-  /// The fixture's daemon with 99 others of its domain, two of them before it.
+  /// Adds 99 other daemons of the domain, two of them ranked higher.
   void PutMany() {
     std::vector<StoreItem> items = {Entry("d3", "a", "h3:1")};
     for (int i = 1; i < 100; ++i) {
@@ -179,46 +181,47 @@
     this->Put(items);
   }
 
-  void AskStore_OneOfMany_OnlyWhenNobodyAnswers() {
+  void MayQueryStore_LargeDomain_OnlyWithoutResponses() {
     this->PutMany();
-    members->OnAnswer("h1:1", 100ms);
+    members->OnResponse("h1:1", 100ms);
     CPPUNIT_ASSERT(!members->MayQueryStore());
     clock.Advance(2900ms);
     CPPUNIT_ASSERT(!members->MayQueryStore());
     clock.Advance(4s);
     CPPUNIT_ASSERT(members->MayQueryStore());
-    members->OnAnswer("h1:1", 3s);
+    members->OnResponse("h1:1", 3s);
     CPPUNIT_ASSERT(!members->MayQueryStore());
   }
 
-  // Each of 300 daemons became a teller in turn, and lists were told on that
-  // had aged on the way.
-  void AskStore_StoreAwayForAll_SpreadsSlowly() {
+  // Guards against 300 daemons that became sync sources one after the other and
+  // passed on lists that had aged on the path between them.
+  void MayQueryStore_StoreUnavailableForAll_SpreadsSlowly() {
     settings.name = "x";
     members = std::make_unique<PeerMembers>(settings, clock);
     this->PutMany();
     for (Micros passed{0}; passed < 9s; passed += 250ms) {
       clock.Advance(250ms);
       for (const std::string& address : members->NextSyncSources()) {
-        members->OnAnswer(address, passed);
+        members->OnResponse(address, passed);
       }
     }
-    const auto passedOver = std::count_if(
+    const auto skipped = std::count_if(
         members->All().begin(), members->All().end(),
         [](const auto& aEntry) { return aEntry.second.isSkipped; });
-    CPPUNIT_ASSERT(passedOver >= 3);
-    CPPUNIT_ASSERT(passedOver <= 6);
+    CPPUNIT_ASSERT(skipped >= 3);
+    CPPUNIT_ASSERT(skipped <= 6);
     CPPUNIT_ASSERT(!members->MayQueryStore());
   }
 
-  void AskStore_Alone_AtOnce() {
+  void MayQueryStore_NoPeers_AtOnce() {
     members = std::make_unique<PeerMembers>(settings, clock);
     members->StartWithoutPeers();
     CPPUNIT_ASSERT(members->MayQueryStore());
   }
 
-  // Hundreds that all seeds leave without an answer do not begin together.
-  void AskStore_NobodyHeard_ApartFromOthers() {
+  // Hundreds of daemons that get no response from any seed must not read the
+  // store together.
+  void MayQueryStore_NoResponses_IsJittered() {
     constexpr int kDaemons = 300;
     std::vector<EdgeSettings> settingsOf(kDaemons);
     std::vector<PeerMembers> daemons;
@@ -234,17 +237,17 @@
     };
     clock.Advance(990ms);
     CPPUNIT_ASSERT(count() == 0);
-    long most = 0;
+    long maxIncrease = 0;
     for (int step = 0; step < 32; ++step) {
       const long before = count();
       clock.Advance(100ms);
-      most = std::max(most, count() - before);
+      maxIncrease = std::max(maxIncrease, count() - before);
     }
-    CPPUNIT_ASSERT(most < kDaemons / 10);
+    CPPUNIT_ASSERT(maxIncrease < kDaemons / 10);
     CPPUNIT_ASSERT(count() == kDaemons);
   }
 
-  void AskStore_ListedInAnEarlierLife_AtOnce() {
+  void MayQueryStore_ListedBeforeRestart_AtOnce() {
     settings.name = "d1";
     members = std::make_unique<PeerMembers>(settings, clock);
     members->OnBootstrapEntries(
@@ -252,12 +255,12 @@
     CPPUNIT_ASSERT(members->MayQueryStore());
   }
 
-  void First_OfADomain_AreNamedWithoutTheAsker() {
+  void HighestRanked_OfDomain_ExcludesRequester() {
     const auto names = [this](const std::string& aDomain,
                               const std::string& aRequester) {
       std::string text;
-      for (const PeerName& one : members->FirstOf(aDomain, aRequester)) {
-        text += one.name + " ";
+      for (const PeerName& peer : members->HighestRanked(aDomain, aRequester)) {
+        text += peer.name + " ";
       }
       return text;
     };
@@ -266,28 +269,28 @@
     CPPUNIT_ASSERT_EQUAL(std::string("d0 "), names("b", "d9"));
   }
 
-  void MayRely_OnFreshLists_UntilTheyAreOld() {
+  void HasFreshSyncSource_FreshLists_UntilTheyAreStale() {
     CPPUNIT_ASSERT(!members->HasFreshSyncSource());
-    members->OnAnswer("h1:1", 100ms);
+    members->OnResponse("h1:1", 100ms);
     CPPUNIT_ASSERT(members->HasFreshSyncSource());
     clock.Advance(MaxSyncStaleness(settings) + 1ms);
     CPPUNIT_ASSERT(!members->HasFreshSyncSource());
   }
 
-  void MayRely_OnListsThatWereOldWhenTold_IsFalse() {
-    members->OnAnswer("h1:1", 3s);
-    members->OnAnswer("h1:1", std::nullopt);
+  void HasFreshSyncSource_ListsStaleOnArrival_IsFalse() {
+    members->OnResponse("h1:1", 3s);
+    members->OnResponse("h1:1", std::nullopt);
     CPPUNIT_ASSERT(!members->HasFreshSyncSource());
   }
 
-  void Entries_OfAnotherProcess_StartAnew() {
-    members->OnAnswer("h1:1", 100ms);
+  void OnEntries_OtherProcess_ResetsState() {
+    members->OnResponse("h1:1", 100ms);
     this->Put({Entry("d1", "a", "h9:1")});
     CPPUNIT_ASSERT(!members->HasFreshSyncSource());
-    CPPUNIT_ASSERT_EQUAL(std::string("h9:1 "), this->Asked());
+    CPPUNIT_ASSERT_EQUAL(std::string("h9:1 "), this->Queried());
   }
 
-  void Entries_ThatDoNotParse_AreLeftOut() {
+  void OnEntries_MalformedEntries_AreIgnored() {
     this->Put({{"members/a/d1", "no object", 1},
                {"placement-duty", R"({"peer":"h1:1"})", 1},
                Entry("d3", "a", "h3:1")});
--- a/UnitTests/PeerMemoryTest.cpp
+++ b/UnitTests/PeerMemoryTest.cpp
@@ -9,7 +9,7 @@
 
 using Tcp = asio::ip::tcp;
 
-/// Answers no call.
+/// A store that completes no call.
 class AbsentStore final : public AsyncStore {
  public:
   void Range(const std::string&, Done<StoreRange>) override {}
@@ -23,19 +23,19 @@
   void End(std::uint64_t, Done<bool>) override {}
 };
 
-class NoListener final : public PeerListener {
+class NullListener final : public PeerListener {
  public:
   void OnPeerData(std::string) override {}
 };
 
-/// A daemon that takes connections and reads nothing from them.
-class SilentReader {
+/// A daemon that accepts connections and never reads from them.
+class StalledReader {
  public:
-  explicit SilentReader(asio::io_context& aLoop) : acceptor(aLoop) {
-    constexpr int kSmallestBuffer = 4096;
+  explicit StalledReader(asio::io_context& aLoop) : acceptor(aLoop) {
+    constexpr int kReceiveBufferBytes = 4096;
     acceptor.open(Tcp::v4());
     acceptor.set_option(
-        asio::socket_base::receive_buffer_size(kSmallestBuffer));
+        asio::socket_base::receive_buffer_size(kReceiveBufferBytes));
     acceptor.bind({asio::ip::address_v4::loopback(), 0});
     acceptor.listen();
   }
@@ -48,7 +48,8 @@
   Tcp::acceptor acceptor;
 };
 
-/// A configuration with as many routes as the operators' largest day adds.
+/// A configuration with 1,600 routes, as many as the operators' largest day
+/// adds.
 std::string LargeConfiguration(int aVersion) {
   std::string text = R"({"configVersion":)" + std::to_string(aVersion) +
                      R"(,"services":[],"routes":[)";
@@ -64,18 +65,17 @@
   return text + "]}";
 }
 
-/// Many daemons ask one that is the first with a new configuration, and take
-/// their time to read it.
+/// Many slow readers query the first daemon that has a new configuration.
 class PeerMemoryTest : public CppUnit::TestFixture, private ClusterListener {
   CPPUNIT_TEST_SUITE(PeerMemoryTest);
-  CPPUNIT_TEST(Configurations_AskedForByManyThatReadSlowly_HoldLittle);
-  CPPUNIT_TEST(Hint_WhileTheListIsDoubtful_IsShort);
+  CPPUNIT_TEST(Configurations_ManySlowReaders_ShareOneBuffer);
+  CPPUNIT_TEST(Hint_IncompleteList_IsShort);
   CPPUNIT_TEST_SUITE_END();
 
-  static constexpr int kAskers = 45;
+  static constexpr int kRequesters = 45;
   static constexpr int kVersions = 25;
   /// A twentieth of the smallest VM's memory (112 MB).
-  static constexpr std::size_t kMostHeld = 112 * (1 << 20) / 20;
+  static constexpr std::size_t kMaxQueuedBytes = 112 * (1 << 20) / 20;
 
   void OnConfiguration() override {}
   void OnUpstream(const UpstreamPtr&) override {}
@@ -84,7 +84,7 @@
   asio::io_context loop;
   asio::executor_work_guard<asio::io_context::executor_type> work =
       asio::make_work_guard(loop);
-  asio::io_context silent;
+  asio::io_context idleLoop;
   SystemClock clock;
   AbsentStore store;
   StoreEraTracker eras;
@@ -93,24 +93,25 @@
   EdgeSettings settings;
   std::unique_ptr<ClusterDecoder> decoder = platform::MakeDecoder();
   ClusterView view{*decoder, *this, clock};
-  std::unique_ptr<PeerProtocol> exchange;
-  NoListener noListener;
-  std::unique_ptr<PeerTransport> askers;
-  std::vector<std::unique_ptr<SilentReader>> readers;
-
-  /// All readers ask for the configuration, until all are answered.
-  void AskAll() {
-    const auto answered = [this] {
+  std::unique_ptr<PeerProtocol> protocol;
+  NullListener nullListener;
+  std::unique_ptr<PeerTransport> requesters;
+  std::vector<std::unique_ptr<StalledReader>> readers;
+
+  /// Queries the configuration for each reader, and runs the loop until each
+  /// response is sent.
+  void QueryAll() {
+    const auto sentBytes = [this] {
       return metrics.CounterValue("zincstep_peer_sent_bytes_total",
                                   {{"kind", "give"}});
     };
     for (const auto& reader : readers) {
-      const double before = answered();
-      ClusterWant want;
-      want.question = 1;
-      askers->Send(settings.peerListen,
-                   WriteEdgePeerMessage({"d2", reader->Address(), want}));
-      while (answered() == before) {
+      const double before = sentBytes();
+      ClusterQuery query;
+      query.queryId = 1;
+      requesters->Send(settings.peerListen,
+                       WriteEdgePeerMessage({"d2", reader->Address(), query}));
+      while (sentBytes() == before) {
         loop.run_one();
       }
     }
@@ -118,48 +119,50 @@
 
  public:
   void setUp() override {
-    // A port that is free now.
-    Tcp::acceptor port(silent, {asio::ip::address_v4::loopback(), 0});
+    // Selects a port that is currently free.
+    Tcp::acceptor port(idleLoop, {asio::ip::address_v4::loopback(), 0});
     settings.name = "d1";
     settings.failureDomain = "a";
     settings.peerListen =
         "127.0.0.1:" + std::to_string(port.local_endpoint().port());
     port.close();
-    exchange = std::make_unique<PeerProtocol>(
+    protocol = std::make_unique<PeerProtocol>(
         loop, settings, store, view, clock, random, metrics, eras,
         [](const UpstreamPtr&) {},
         [](const CrashGossip&, const std::string&) {},
         [](const LimitGossip&, const std::string&, const std::string&) {},
         [] { return std::nullopt; });
-    CPPUNIT_ASSERT(exchange->Start().has_value());
-    askers = MakePeerTransport({}, noListener);
-    CPPUNIT_ASSERT(askers->Start().has_value());
-    for (int i = 0; i < kAskers; ++i) {
-      readers.push_back(std::make_unique<SilentReader>(silent));
+    CPPUNIT_ASSERT(protocol->Start().has_value());
+    requesters = MakePeerTransport({}, nullListener);
+    CPPUNIT_ASSERT(requesters->Start().has_value());
+    for (int i = 0; i < kRequesters; ++i) {
+      readers.push_back(std::make_unique<StalledReader>(idleLoop));
     }
   }
 
   void tearDown() override {
-    askers->Stop();
-    exchange->Stop();
+    requesters->Stop();
+    protocol->Stop();
   }
 
-  // 148 MB were held by a daemon that has 112: each of 45 askers had a text of
-  // its own, of each of several versions.
-  void Configurations_AskedForByManyThatReadSlowly_HoldLittle() {
-    std::size_t most = 0;
+  // Guards against a daemon with 112 MB that queued 148 MB: it held a separate
+  // text for each of 45 requesters and for each of several versions.
+  void Configurations_ManySlowReaders_ShareOneBuffer() {
+    std::size_t maxQueued = 0;
     for (int version = 1; version <= kVersions; ++version) {
       const auto revision = static_cast<std::uint64_t>(version);
       view.OnConfiguration({"", LargeConfiguration(version), {revision, 0}});
       CPPUNIT_ASSERT_EQUAL(revision, view.ConfigVersion());
-      this->AskAll();
-      most = std::max(most, exchange->BytesToPeers());
+      this->QueryAll();
+      maxQueued = std::max(maxQueued, protocol->BytesToPeers());
     }
-    CPPUNIT_ASSERT_MESSAGE("held " + std::to_string(most), most <= kMostHeld);
+    CPPUNIT_ASSERT_MESSAGE("queued " + std::to_string(maxQueued),
+                           maxQueued <= kMaxQueuedBytes);
   }
 
-  /// Three thousand upstreams, of which something was missed on the way.
-  void KnowDoubtfulList() {
+  /// Applies a list of three thousand upstreams and an update that reveals a
+  /// missed change.
+  void ApplyIncompleteList() {
     StoreRange range;
     range.at = {5, 0};
     for (int i = 0; i < 3000; ++i) {
@@ -169,19 +172,19 @@
                              {5, 0}});
     }
     view.OnUpstreams(range);
-    ClusterUpdate copy;
-    ListUpdate& list = copy.upstreams.emplace();
+    ClusterUpdate update;
+    ListUpdate& list = update.upstreams.emplace();
     list.at = {6, 0};
     list.isWhole = false;
     list.digest = 1;
-    view.OnUpdate(copy, clock.Now());
+    view.OnUpdate(update, clock.Now());
     CPPUNIT_ASSERT(view.Revisions().upstreams.IsNone());
   }
 
-  // A hint of a newer configuration took the whole list along, a megabyte to
-  // each of two hundred daemons: 226 MB were held.
-  void Hint_WhileTheListIsDoubtful_IsShort() {
-    this->KnowDoubtfulList();
+  // Guards against hints that carried the full list, a megabyte to each of two
+  // hundred daemons: 226 MB were queued.
+  void Hint_IncompleteList_IsShort() {
+    this->ApplyIncompleteList();
     StoreRange daemons;
     daemons.at = {5, 0};
     for (std::size_t i = 0; i < readers.size(); ++i) {
@@ -191,13 +194,13 @@
           {DaemonEntry::KeyOf(daemon), DaemonEntry::TextOf(daemon), {5, 0}});
     }
     view.OnDaemons(daemons);
-    exchange->OnDaemonEntries("");
-    exchange->OnConfiguration();
+    protocol->OnDaemonEntries("");
+    protocol->OnConfiguration();
     const double sent = metrics.CounterValue("zincstep_peer_sent_bytes_total",
                                              {{"kind", "give"}});
     CPPUNIT_ASSERT(sent > 0);
     CPPUNIT_ASSERT_MESSAGE("sent " + std::to_string(sent),
-                           sent < 1000.0 * kAskers);
+                           sent < 1000.0 * kRequesters);
   }
 };
 
--- a/UnitTests/WrongEntryTest.cpp
+++ b/UnitTests/WrongEntryTest.cpp
@@ -1,8 +1,8 @@
-// An entry may come from another writer: with fields missing or of another
-// type, a state that nobody knows, or bytes that are no JSON. Such an entry
-// left the one before it in use, and a field of another type was filled with a
-// default, so that requests went to whoever the damaged entry seemed to name.
-// In the daemons' own entries a field of another type ended the daemon.
+// Another writer may store entries with missing fields, fields of a wrong type,
+// unknown states or invalid JSON. Previously such an upstream entry left its
+// predecessor in use, or a field of a wrong type got a default, so that
+// requests went to whatever upstream the damaged entry seemed to name. A field
+// of a wrong type in a daemon's entry crashed the daemon.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -14,29 +14,29 @@
 namespace zincstep {
 namespace {
 
-constexpr const char* kRight =
+constexpr const char* kValid =
     R"({"backend":"s","address":"10.0.0.1:80","zone":"a","configVersion":"v1",)"
     R"("slots":4,"state":"ready","coldRemainingMs":0,"sequence":3,"born":7,)"
     R"("routeType":"k","layers":{"from":0,"targetVersion":2}})";
 
-/// Of another upstream.
+/// The entry of another upstream.
 constexpr const char* kOther =
     R"({"backend":"s","address":"10.0.0.2:80","zone":"a","slots":4,)"
     R"("state":"ready"})";
 
 class WrongEntryTest : public CppUnit::TestFixture, private ClusterListener {
   CPPUNIT_TEST_SUITE(WrongEntryTest);
-  CPPUNIT_TEST(Entry_Right_NamesItsUpstream);
-  CPPUNIT_TEST(Entry_FieldMissing_NamesNone);
-  CPPUNIT_TEST(Entry_FieldOfAnotherType_NamesNone);
-  CPPUNIT_TEST(Entry_NumberOutOfRange_NamesNone);
-  CPPUNIT_TEST(Entry_NoObject_NamesNone);
-  CPPUNIT_TEST(Entry_OneNameTwice_NamesNone);
-  CPPUNIT_TEST(Entry_WrongAfterRight_TakesTheUpstreamOutOfUse);
-  CPPUNIT_TEST(Entry_RightAgain_BringsTheUpstreamBack);
-  CPPUNIT_TEST(Entry_WrongInAPeersList_TakesTheUpstreamOutOfUse);
-  CPPUNIT_TEST(Entry_DamagedAtRandom_LeavesTheOthers);
-  CPPUNIT_TEST(DaemonEntry_OfAnotherType_NamesNone);
+  CPPUNIT_TEST(Entry_Valid_IsAccepted);
+  CPPUNIT_TEST(Entry_FieldMissing_IsRejected);
+  CPPUNIT_TEST(Entry_FieldOfWrongType_IsRejected);
+  CPPUNIT_TEST(Entry_NumberOutOfRange_IsRejected);
+  CPPUNIT_TEST(Entry_NotAnObject_IsRejected);
+  CPPUNIT_TEST(Entry_DuplicateField_IsRejected);
+  CPPUNIT_TEST(Entry_MalformedAfterValid_RemovesUpstream);
+  CPPUNIT_TEST(Entry_ValidAgain_RestoresUpstream);
+  CPPUNIT_TEST(Entry_MalformedInPeerList_RemovesUpstream);
+  CPPUNIT_TEST(Entry_RandomlyDamaged_KeepsOthers);
+  CPPUNIT_TEST(DaemonEntry_WrongFieldType_IsRejected);
   CPPUNIT_TEST_SUITE_END();
 
   void OnConfiguration() override {}
@@ -48,17 +48,17 @@
   ClusterView view{*decoder, *this, clock};
   std::uint64_t revision = 1;
 
-  bool NamesOne(const std::string& aText) {
+  bool IsValid(const std::string& aText) {
     return decoder->DecodeUpstream("i1", aText).has_value();
   }
 
-  /// The right entry with a part replaced.
+  /// Returns the valid entry with `aPart` replaced.
   static std::string With(const std::string& aPart,
-                          const std::string& aReplaced) {
-    std::string text = kRight;
+                          const std::string& aReplacement) {
+    std::string text = kValid;
     const std::size_t at = text.find(aPart);
     CPPUNIT_ASSERT(at != std::string::npos);
-    return text.replace(at, aPart.size(), aReplaced);
+    return text.replace(at, aPart.size(), aReplacement);
   }
 
   void Put(const std::string& aId, const std::string& aText) {
@@ -72,27 +72,27 @@
   }
 
  public:
-  void Entry_Right_NamesItsUpstream() {
-    CPPUNIT_ASSERT(this->NamesOne(kRight));
+  void Entry_Valid_IsAccepted() {
+    CPPUNIT_ASSERT(this->IsValid(kValid));
     // A plain service has neither layers nor a kind of accelerator.
-    CPPUNIT_ASSERT(this->NamesOne(
+    CPPUNIT_ASSERT(this->IsValid(
         With(R"(,"routeType":"k","layers":{"from":0,"targetVersion":2})", "")));
-    // One of a model that holds no layers yet tells null.
+    // An upstream of a model that holds no layers yet has null.
     CPPUNIT_ASSERT(
-        this->NamesOne(With(R"({"from":0,"targetVersion":2})", "null")));
-    // Who has not told its start yet is known by its id alone.
-    CPPUNIT_ASSERT(this->NamesOne(With(R"("born":7,)", "")));
+        this->IsValid(With(R"({"from":0,"targetVersion":2})", "null")));
+    // Without a start time an upstream is identified by its id alone.
+    CPPUNIT_ASSERT(this->IsValid(With(R"("born":7,)", "")));
   }
 
-  void Entry_FieldMissing_NamesNone() {
+  void Entry_FieldMissing_IsRejected() {
     for (const char* part :
          {R"("backend":"s",)", R"("address":"10.0.0.1:80",)", R"("zone":"a",)",
           R"("slots":4,)", R"("state":"ready",)"}) {
-      CPPUNIT_ASSERT_MESSAGE(part, !this->NamesOne(With(part, "")));
+      CPPUNIT_ASSERT_MESSAGE(part, !this->IsValid(With(part, "")));
     }
   }
 
-  void Entry_FieldOfAnotherType_NamesNone() {
+  void Entry_FieldOfWrongType_IsRejected() {
     const std::pair<const char*, std::vector<const char*>> cases[] = {
         {R"("s")", {"1", "null", "[]", R"("")"}},
         {R"("10.0.0.1:80")", {"1", R"("")", R"("10.0.0.1")", R"("x:y")"}},
@@ -105,64 +105,64 @@
          {"1", "[]", R"("0-2")", "{}", R"({"from":0})",
           R"({"from":"0","targetVersion":2})",
           R"({"from":0.5,"targetVersion":2})"}}};
-    for (const auto& [part, wrong] : cases) {
-      for (const char* one : wrong) {
-        CPPUNIT_ASSERT_MESSAGE(std::string(part) + " " + one,
-                               !this->NamesOne(With(part, one)));
+    for (const auto& [part, malformed] : cases) {
+      for (const char* replacement : malformed) {
+        CPPUNIT_ASSERT_MESSAGE(std::string(part) + " " + replacement,
+                               !this->IsValid(With(part, replacement)));
       }
     }
   }
 
-  void Entry_NumberOutOfRange_NamesNone() {
+  void Entry_NumberOutOfRange_IsRejected() {
     for (const char* number : {"-1", "9223372036854775808",
                                "18446744073709551616", "1e400", "2147483648"}) {
       const std::string text = std::string(":") + number;
-      CPPUNIT_ASSERT_MESSAGE(number, !this->NamesOne(With(":4", text)));
+      CPPUNIT_ASSERT_MESSAGE(number, !this->IsValid(With(":4", text)));
       const std::string layers = R"({"from":0,"targetVersion")" + text + "}";
       CPPUNIT_ASSERT_MESSAGE(
           number,
-          !this->NamesOne(With(R"({"from":0,"targetVersion":2})", layers)));
+          !this->IsValid(With(R"({"from":0,"targetVersion":2})", layers)));
     }
-    CPPUNIT_ASSERT(!this->NamesOne(With(":4", ":0")));
-    CPPUNIT_ASSERT(!this->NamesOne(With(":7", ":-7")));
-    CPPUNIT_ASSERT(!this->NamesOne(With(":7", ":9223372036854775808")));
-    CPPUNIT_ASSERT(!this->NamesOne(With(R"("from":0,"targetVersion":2)",
-                                        R"("from":2,"targetVersion":0)")));
+    CPPUNIT_ASSERT(!this->IsValid(With(":4", ":0")));
+    CPPUNIT_ASSERT(!this->IsValid(With(":7", ":-7")));
+    CPPUNIT_ASSERT(!this->IsValid(With(":7", ":9223372036854775808")));
+    CPPUNIT_ASSERT(!this->IsValid(With(R"("from":0,"targetVersion":2)",
+                                       R"("from":2,"targetVersion":0)")));
   }
 
-  void Entry_NoObject_NamesNone() {
+  void Entry_NotAnObject_IsRejected() {
     const std::string deep(100'000, '[');
     for (const std::string& text :
          {std::string(), std::string("null"), std::string("[]"),
           std::string("7"), std::string("{"), std::string("\xff\xfe{}"), deep,
-          std::string(1 << 20, 'x'), std::string(kRight) + "}",
+          std::string(1 << 20, 'x'), std::string(kValid) + "}",
           With("10.0.0.1", "10.0.\xc3\x28.1")}) {
-      CPPUNIT_ASSERT(!this->NamesOne(text));
+      CPPUNIT_ASSERT(!this->IsValid(text));
     }
   }
 
-  void Entry_OneNameTwice_NamesNone() {
-    CPPUNIT_ASSERT(!this->NamesOne(
+  void Entry_DuplicateField_IsRejected() {
+    CPPUNIT_ASSERT(!this->IsValid(
         With(R"("zone":"a")", R"("zone":"a","address":"10.0.0.2:80")")));
   }
 
-  void Entry_WrongAfterRight_TakesTheUpstreamOutOfUse() {
-    this->Put("i1", kRight);
+  void Entry_MalformedAfterValid_RemovesUpstream() {
+    this->Put("i1", kValid);
     this->Put("i2", kOther);
     this->Put("i1", With(R"("ready")", R"("resting")"));
     CPPUNIT_ASSERT(!this->IsUsable("i1"));
     CPPUNIT_ASSERT(this->IsUsable("i2"));
   }
 
-  void Entry_RightAgain_BringsTheUpstreamBack() {
-    this->Put("i1", kRight);
+  void Entry_ValidAgain_RestoresUpstream() {
+    this->Put("i1", kValid);
     this->Put("i1", "{");
-    this->Put("i1", kRight);
+    this->Put("i1", kValid);
     CPPUNIT_ASSERT(this->IsUsable("i1"));
   }
 
-  void Entry_WrongInAPeersList_TakesTheUpstreamOutOfUse() {
-    this->Put("i1", kRight);
+  void Entry_MalformedInPeerList_RemovesUpstream() {
+    this->Put("i1", kValid);
     this->Put("i2", kOther);
     ClusterView other{*decoder, *this, clock};
     other.OnUpstreams(
@@ -172,14 +172,14 @@
     CPPUNIT_ASSERT(this->IsUsable("i2"));
   }
 
-  void Entry_DamagedAtRandom_LeavesTheOthers() {
+  void Entry_RandomlyDamaged_KeepsOthers() {
     constexpr int kCases = 10'000;
     Random random{11};
     this->Put("i2", kOther);
     for (int i = 0; i < kCases; ++i) {
-      std::string text = kRight;
-      const std::size_t damages = 1 + random.Below(4);
-      for (std::size_t damage = 0; damage < damages; ++damage) {
+      std::string text = kValid;
+      const std::size_t damageCount = 1 + random.Below(4);
+      for (std::size_t damage = 0; damage < damageCount; ++damage) {
         const std::size_t at = random.Below(text.size());
         const char byte = static_cast<char>(random.Below(256));
         switch (random.Below(3)) {
@@ -194,23 +194,23 @@
         }
       }
       this->Put("i1", text);
-      // Whatever is in use was decoded from what stands there now.
-      CPPUNIT_ASSERT_EQUAL(this->NamesOne(text),
+      // An upstream that is in use was decoded from the current entry.
+      CPPUNIT_ASSERT_EQUAL(this->IsValid(text),
                            view.Directory().Find("i1") != nullptr);
       CPPUNIT_ASSERT(this->IsUsable("i2"));
     }
-    this->Put("i1", kRight);
+    this->Put("i1", kValid);
     CPPUNIT_ASSERT(this->IsUsable("i1"));
   }
 
-  void DaemonEntry_OfAnotherType_NamesNone() {
+  void DaemonEntry_WrongFieldType_IsRejected() {
     for (const char* text :
          {R"({"peer":7,"failure_domain":"a"})", R"({"peer":"h:1"})", "{}",
           R"({"peer":"h:1","failure_domain":null})", "[]", "", "\xff"}) {
-      CPPUNIT_ASSERT_MESSAGE(text, !DaemonEntry::Read("members/d1", text));
+      CPPUNIT_ASSERT_MESSAGE(text, !DaemonEntry::Parse("members/d1", text));
     }
-    CPPUNIT_ASSERT(DaemonEntry::Read("members/d1",
-                                     R"({"peer":"h:1","failure_domain":"a"})"));
+    CPPUNIT_ASSERT(DaemonEntry::Parse(
+        "members/d1", R"({"peer":"h:1","failure_domain":"a"})"));
   }
 };
 
