--- a/Zincstep/Edge/EdgePeerMessage.h
+++ b/Zincstep/Edge/EdgePeerMessage.h
@@ -62,8 +62,8 @@
   SharedBytes packedConfig;
   SharedBytes packedUpstreams;
   SharedBytes packedDaemons;
-  /// How long entries that the packed list of upstreams removes may only have
-  /// expired.
+  /// Remaining grace period in which entries removed by the packed list of
+  /// upstreams may have expired only because the store was unavailable.
   Micros packedGrace{0};
   /// The highest-ranked daemons of the requester's failure domain, if it
   /// requested them.
--- a/Zincstep/Edge/EdgeSettings.h
+++ b/Zincstep/Edge/EdgeSettings.h
@@ -28,8 +28,7 @@
   Micros drainNotice = 2s;
   /// Time after which a revoked key must be rejected.
   Micros keyRevocation = 5s;
-  /// Whether keys are rejected when it cannot be validated that they are still
-  /// active.
+  /// Whether keys are rejected when they cannot be validated as still active.
   bool failsClosed = true;
   /// Time from the stop signal until the process is killed, in seconds.
   double stopGraceSeconds = 8;
--- a/Zincstep/Edge/PeerMembers.h
+++ b/Zincstep/Edge/PeerMembers.h
@@ -124,7 +124,7 @@
   /// same VM.
   Member& Put(const PeerName& aPeer);
   void ApplyEntry(const StoreItem& aItem);
-  /// Applies that a daemon has no valid entry any more.
+  /// Clears the entry of a daemon that was removed or is malformed.
   void DropEntry(const std::string& aKey);
   /// Records a live peer, which need not have an entry yet.
   void RecordLive(const PeerName& aPeer);
--- a/Zincstep/Edge/PeerProtocol.cpp
+++ b/Zincstep/Edge/PeerProtocol.cpp
@@ -369,14 +369,14 @@
 }
 
 void PeerProtocol::ReportDemand(Instant aNow) {
-  const std::optional<double> own = this->localDemand();
-  if (!own) {
+  const std::optional<double> local = this->localDemand();
+  if (!local) {
     return;
   }
   if (this->placementLeader == this->settings.name) {
-    this->demand.Tell(this->settings.name, *own, aNow);
+    this->demand.Tell(this->settings.name, *local, aNow);
   } else {
-    this->SendToPlacementLeader(DemandGossip{*own});
+    this->SendToPlacementLeader(DemandGossip{*local});
   }
 }
 
--- a/Zincstep/Edge/PeerResponder.h
+++ b/Zincstep/Edge/PeerResponder.h
@@ -26,7 +26,7 @@
 
  private:
   /// Returns the compressed list for a requester that has it as of `aSince`,
-  /// and resets `aList` in its favour. Null if the list is short.
+  /// and resets `aList`, which it replaces. Null if the list is short.
   static const PackedList* Pack(PackedLists& aLists, StoreRevision aSince,
                                 StoreRevision aAt,
                                 std::optional<ListUpdate>& aList);
