--- a/PerformanceTests/PlacementBench.cpp
+++ b/PerformanceTests/PlacementBench.cpp
@@ -166,7 +166,7 @@
   Print("placement.worth" + suffix, first.worth, "share");
 
   PlacementInput look = SituationOf(pool, demand);
-  look.onlyImproved = "d0";
+  look.domainToImprove = "d0";
   Print("placement.look_of_one_domain" + suffix,
         MillisOf([&] { orders = planner.Plan(model, look); }), "ms");
 
--- a/UnitTests/CrashDetectorTest.cpp
+++ b/UnitTests/CrashDetectorTest.cpp
@@ -79,8 +79,8 @@
   /// is kept open where nothing else is said.
   void KeepUnknown(Micros aFor = 4s) {
     for (Micros passed{0}; passed < aFor; passed += kPause) {
-      if (control.HasOpenReach()) {
-        control.EndReach(Reachability::Reached);
+      if (control.HasPendingConnect()) {
+        control.FinishConnect(Reachability::Reached);
       }
       this->Pass(kPause);
     }
@@ -91,7 +91,7 @@
 
   void Loss_UpstreamRefuses_IsItsEnd() {
     watch.OnRunLost(kGuilty, upstream);
-    control.EndReach(Reachability::Refused);
+    control.FinishConnect(Reachability::Refused);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, found.size());
     CPPUNIT_ASSERT_EQUAL(upstream->Number(), found[0].upstream);
     CPPUNIT_ASSERT(ledger.HasCrashes(kGuilty));
@@ -99,31 +99,31 @@
     CPPUNIT_ASSERT_EQUAL(1, suspicions);
     for (const char* id : {"i2", "i3"}) {
       watch.OnRunLost(kGuilty, MakeUpstream(id));
-      control.EndReach(Reachability::Refused);
+      control.FinishConnect(Reachability::Refused);
     }
     CPPUNIT_ASSERT_EQUAL(1, blocked);
   }
 
   void Loss_UpstreamAccepts_ProvesNothing() {
     watch.OnRunLost(kGuilty, upstream);
-    control.EndReach(Reachability::Reached);
+    control.FinishConnect(Reachability::Reached);
     CPPUNIT_ASSERT(found.empty() && ledger.IsEmpty());
     CPPUNIT_ASSERT(!upstream->IsSuspect(clock.Now()));
   }
 
   void Loss_SilentOnce_IsAskedAgain() {
     watch.OnRunLost(kGuilty, upstream);
-    control.EndReach(Reachability::Silent);
+    control.FinishConnect(Reachability::Silent);
     CPPUNIT_ASSERT(found.empty());
-    control.EndReach(Reachability::Silent);
+    control.FinishConnect(Reachability::Silent);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, found.size());
   }
 
   void Loss_SilenceNoticedLate_ProvesNothing() {
     watch.OnRunLost(kGuilty, upstream);
-    control.EndReach(Reachability::Silent);
+    control.FinishConnect(Reachability::Silent);
     clock.Advance(1s);
-    control.EndReach(Reachability::Silent);
+    control.FinishConnect(Reachability::Silent);
     CPPUNIT_ASSERT(found.empty() && ledger.IsEmpty());
   }
 
@@ -134,7 +134,7 @@
     control.Answer(1);
     CPPUNIT_ASSERT(ledger.IsEmpty());
     control.FailReport(ErrorKind::UpstreamUnreachable);
-    control.EndReach(Reachability::Refused);
+    control.FinishConnect(Reachability::Refused);
     CPPUNIT_ASSERT(ledger.HasCrashes(kGuilty) && !ledger.HasCrashes(kOther));
   }
 
@@ -142,10 +142,10 @@
     // That a connection was accepted between the two clears neither.
     watch.OnRunLost(kOther, upstream);
     watch.OnRunLost(kGuilty, upstream);
-    control.EndReach(Reachability::Reached);
+    control.FinishConnect(Reachability::Reached);
     CPPUNIT_ASSERT(ledger.IsEmpty());
     this->Pass(kPause);
-    control.EndReach(Reachability::Refused);
+    control.FinishConnect(Reachability::Refused);
     CPPUNIT_ASSERT(ledger.HasCrashes(kGuilty) && ledger.HasCrashes(kOther));
   }
 
@@ -161,7 +161,7 @@
   void Answer_BeforeTheCrash_IsBlamedByNobody() {
     watch.OnAnswered(kOther);
     watch.OnRunLost(kOther, upstream);
-    control.EndReach(Reachability::Refused);
+    control.FinishConnect(Reachability::Refused);
     CPPUNIT_ASSERT(found.empty() && ledger.IsEmpty());
     // The upstream has ended all the same.
     CPPUNIT_ASSERT(upstream->IsSuspect(clock.Now()));
@@ -171,7 +171,7 @@
 
   void Cleared_ElsewhereAndBlamedHere_IsToldOn() {
     watch.OnRunLost(kOther, upstream);
-    control.EndReach(Reachability::Refused);
+    control.FinishConnect(Reachability::Refused);
     CPPUNIT_ASSERT(watch.OnClearedByPeer(kOther));
     CPPUNIT_ASSERT(!ledger.HasCrashes(kOther));
     CPPUNIT_ASSERT(!watch.OnClearedByPeer(kOther));
@@ -181,33 +181,33 @@
 
   void Loss_UpstreamAccepts_IsAskedAboutAgain() {
     watch.OnRunLost(kGuilty, upstream);
-    control.EndReach(Reachability::Reached);
+    control.FinishConnect(Reachability::Reached);
     watch.Tick();
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.reached.size());
     this->Pass(kPause);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, control.reached.size());
-    control.EndReach(Reachability::Refused);
+    control.FinishConnect(Reachability::Refused);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, found.size());
   }
 
   void Loss_SilenceNoticedLate_IsAskedAboutAgain() {
     watch.OnRunLost(kGuilty, upstream);
     clock.Advance(1s);
-    control.EndReach(Reachability::Silent);
+    control.FinishConnect(Reachability::Silent);
     this->Pass(kPause);
-    control.EndReach(Reachability::Silent);
-    control.EndReach(Reachability::Silent);
+    control.FinishConnect(Reachability::Silent);
+    control.FinishConnect(Reachability::Silent);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, found.size());
   }
 
   void Loss_ConnectionsDropped_IsAnEndOnceInARow() {
     watch.OnRunLost(kGuilty, upstream);
-    control.EndReach(Reachability::Dropped);
-    control.EndReach(Reachability::Reached);
+    control.FinishConnect(Reachability::Dropped);
+    control.FinishConnect(Reachability::Reached);
     this->Pass(kPause);
-    control.EndReach(Reachability::Dropped);
+    control.FinishConnect(Reachability::Dropped);
     CPPUNIT_ASSERT(found.empty());
-    control.EndReach(Reachability::Dropped);
+    control.FinishConnect(Reachability::Dropped);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, found.size());
   }
 
@@ -240,7 +240,7 @@
   void Loss_AcceptsAndReportsNothing_IsAskedAboutAgain() {
     watch.OnRunLost(kGuilty, member);
     control.FailReport(ErrorKind::DeadlineDuringRun);
-    control.EndReach(Reachability::Reached);
+    control.FinishConnect(Reachability::Reached);
     CPPUNIT_ASSERT(found.empty());
     this->Pass(kPause);
     control.Answer(1);
@@ -251,7 +251,7 @@
     member->BackOffUntil(clock.Now() + 1s);
     watch.OnRunLost(kGuilty, member);
     CPPUNIT_ASSERT(control.asked.empty());
-    control.EndReach(Reachability::Refused);
+    control.FinishConnect(Reachability::Refused);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, found.size());
   }
 
@@ -283,7 +283,7 @@
 
   void Loss_UpstreamStartsAgain_IsItsEndAtOnce() {
     watch.OnRunLost(kGuilty, upstream);
-    control.EndReach(Reachability::Reached);
+    control.FinishConnect(Reachability::Reached);
     upstream->SetEnded(clock.Now());
     watch.Tick();
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, found.size());
@@ -299,7 +299,7 @@
   void Answer_ToARequestSentAfterTheLoss_ShowsLife() {
     watch.OnRunLost(kGuilty, upstream);
     const Instant lostAt = clock.Now();
-    control.EndReach(Reachability::Reached);
+    control.FinishConnect(Reachability::Reached);
     watch.OnUpstreamAnswered(*upstream, lostAt - 1ms);
     CPPUNIT_ASSERT(ledger.MayBlock());
     watch.OnUpstreamAnswered(*upstream, lostAt + 1ms);
@@ -313,7 +313,7 @@
     entry.startTimeMs = 7;
     const auto startTimeMs = std::make_shared<LiveUpstream>(entry);
     watch.OnRunLost(kGuilty, startTimeMs);
-    control.EndReach(Reachability::Reached);
+    control.FinishConnect(Reachability::Reached);
     watch.OnUpstreamAnswered(*startTimeMs, clock.Now() + 1ms);
     CPPUNIT_ASSERT(ledger.MayBlock());
   }
@@ -322,7 +322,7 @@
     for (const char* id : {"i1", "i2", "i3"}) {
       CPPUNIT_ASSERT(ledger.BlockedFor(kGuilty, clock.Now()) == 0us);
       watch.OnRunLost(kGuilty, MakeUpstream(id));
-      control.EndReach(Reachability::Reached);
+      control.FinishConnect(Reachability::Reached);
     }
     CPPUNIT_ASSERT(ledger.BlockedFor(kGuilty, clock.Now()) > 0us);
     CPPUNIT_ASSERT(ledger.BlockedFor(kOther, clock.Now()) == 0us);
--- a/UnitTests/DomainRecoveryMonitorTest.cpp
+++ b/UnitTests/DomainRecoveryMonitorTest.cpp
@@ -72,11 +72,11 @@
     // All that were taken back are asked, as some may be dead.
     CPPUNIT_ASSERT_EQUAL(std::size_t{6}, control.asked.size());
     clock.Advance(25ms);
-    control.StaySilent();
+    control.TimeOutReport();
     for (int i = 0; i < 4; ++i) {
       control.Answer(1);
     }
-    control.StaySilent();
+    control.TimeOutReport();
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, Suspects());
   }
 
--- a/UnitTests/PlacementControllerTest.cpp
+++ b/UnitTests/PlacementControllerTest.cpp
@@ -221,7 +221,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.asked.size());
     this->Put("i4", 0, 0, 1, "10.0.0.3:80");
     this->Put("i3", 4, 8, 1, "10.0.0.3:80");
-    control.StaySilent();
+    control.TimeOutReport();
     this->Run(500ms);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, control.asked.size());
   }
--- a/UnitTests/PlacementOrdersTest.cpp
+++ b/UnitTests/PlacementOrdersTest.cpp
@@ -50,7 +50,7 @@
     this->Put("i1");
     orders->Give(model, {"i1", kWanted, GiveUp::AbortRequests});
     control.Answer(UpstreamReport{});
-    control.TakeOrder();
+    control.AcceptOrder();
     CPPUNIT_ASSERT(this->Expected("i1") == kWanted);
     clock.Advance(model.loadTime + settings.orderSlack);
     CPPUNIT_ASSERT(this->Expected("i1") == kWanted);
@@ -79,7 +79,7 @@
     CPPUNIT_ASSERT(this->Expected("i" + std::to_string(many - 1)) == kWanted);
     for (int i = 0; i < many; ++i) {
       control.Answer(UpstreamReport{});
-      control.TakeOrder();
+      control.AcceptOrder();
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t(many), control.places.size());
   }
@@ -126,7 +126,7 @@
 
   void Expected_UpstreamStaysSilent_IsSuspected() {
     this->RunOneOrder();
-    control.StaySilent();
+    control.TimeOutReport();
     CPPUNIT_ASSERT(!this->Expected("i1"));
     CPPUNIT_ASSERT(view.Directory().Find("i1")->IsSuspect(clock.Now()));
   }
--- a/UnitTests/ScriptedControl.h
+++ b/UnitTests/ScriptedControl.h
@@ -37,20 +37,20 @@
     this->Finish(report);
   }
   void Answer(const UpstreamReport& aReport) { this->Finish(aReport); }
-  void StaySilent() { this->FailReport(ErrorKind::DeadlineDuringRun); }
+  void TimeOutReport() { this->FailReport(ErrorKind::DeadlineDuringRun); }
   void FailReport(ErrorKind aKind) { this->Finish(Fail(aKind, "")); }
 
   /// The oldest open order is taken.
-  void TakeOrder() {
+  void AcceptOrder() {
     CPPUNIT_ASSERT(!this->openPlaces.empty());
     const auto done = std::move(this->openPlaces.front());
     this->openPlaces.pop_front();
     done(OrderOutcome{OrderStatus::Taken, ""});
   }
 
-  bool HasOpenReach() const { return !this->openReaches.empty(); }
+  bool HasPendingConnect() const { return !this->openReaches.empty(); }
   /// Ends the oldest open attempt to connect.
-  void EndReach(Reachability aReachability) {
+  void FinishConnect(Reachability aReachability) {
     CPPUNIT_ASSERT(!this->openReaches.empty());
     const auto done = std::move(this->openReaches.front());
     this->openReaches.pop_front();
--- a/UnitTests/UpstreamLimitTest.cpp
+++ b/UnitTests/UpstreamLimitTest.cpp
@@ -140,8 +140,8 @@
     const auto slow = std::make_shared<LiveUpstream>(entry);
     entry.id = "quick";
     const auto quick = std::make_shared<LiveUpstream>(entry);
-    slow->answerSeconds = 1;
-    quick->answerSeconds = 0.001;
+    slow->responseSeconds = 1;
+    quick->responseSeconds = 0.001;
     const Instant now = clock.Now();
     slow->SetCallRate(kLimit, now);
     CPPUNIT_ASSERT(services.Choose({slow, quick}, "", {}, now, random) ==
--- a/UnitTests/UpstreamProberTest.cpp
+++ b/UnitTests/UpstreamProberTest.cpp
@@ -46,9 +46,9 @@
 
   void Ask_NoAnswerTwice_Suspects() {
     probe.Ask(upstream);
-    control.StaySilent();
+    control.TimeOutReport();
     CPPUNIT_ASSERT(!upstream->IsSuspect(clock.Now()));
-    control.StaySilent();
+    control.TimeOutReport();
     CPPUNIT_ASSERT(upstream->IsSuspect(clock.Now()));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, suspicions.size());
     CPPUNIT_ASSERT(suspicions.front() == Provenance::Observed);
@@ -56,16 +56,16 @@
 
   void Ask_LostOnce_DoesNotSuspect() {
     probe.Ask(upstream);
-    control.StaySilent();
+    control.TimeOutReport();
     control.Answer(1);
     CPPUNIT_ASSERT(!upstream->IsSuspect(clock.Now()));
-    CPPUNIT_ASSERT(upstream->AnsweredAt() == clock.Now());
+    CPPUNIT_ASSERT(upstream->LastResponseAt() == clock.Now());
   }
 
   void Ask_LateAnswer_EndsTheSuspicion() {
     probe.Ask(upstream);
-    control.StaySilent();
-    control.StaySilent();
+    control.TimeOutReport();
+    control.TimeOutReport();
     clock.Advance(100ms);
     CPPUNIT_ASSERT(upstream->IsNewlySuspect(clock.Now()));
     control.Answer(1);
@@ -131,7 +131,7 @@
   void Ask_TimeoutNoticedLate_ProvesNothing() {
     probe.Ask(upstream);
     clock.Advance(settings.timeout + settings.latestTimeout + 1ms);
-    control.StaySilent();
+    control.TimeOutReport();
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.asked.size());
     CPPUNIT_ASSERT(!upstream->IsSuspect(clock.Now()));
     CPPUNIT_ASSERT(suspicions.empty());
@@ -154,15 +154,15 @@
   // been told told all others at once.
   void Verify_UpstreamThatIsSilent_WasTold() {
     probe.Verify(upstream);
-    control.StaySilent();
-    control.StaySilent();
+    control.TimeOutReport();
+    control.TimeOutReport();
     CPPUNIT_ASSERT(upstream->IsSuspect(clock.Now()));
     CPPUNIT_ASSERT(suspicions.front() == Provenance::Told);
     control.Answer(1);
     clock.Advance(5s);
     probe.Ask(upstream);
-    control.StaySilent();
-    control.StaySilent();
+    control.TimeOutReport();
+    control.TimeOutReport();
     CPPUNIT_ASSERT(suspicions.back() == Provenance::Observed);
   }
 
@@ -173,17 +173,17 @@
     upstream->Suspect(clock.Now());
     clock.Advance(1ms);
     probe.Ask(upstream);
-    control.EndReach(Reachability::Reached);
+    control.FinishConnect(Reachability::Reached);
     CPPUNIT_ASSERT(upstream->IsSuspect(clock.Now()));
-    CPPUNIT_ASSERT(upstream->AnsweredAt() == Instant{});
+    CPPUNIT_ASSERT(upstream->LastResponseAt() == Instant{});
     CPPUNIT_ASSERT(control.asked.empty());
   }
 
   void Ask_AtRestAndAcceptsNoConnections_Suspects() {
     upstream->BackOffUntil(clock.Now() + 10s);
     probe.Ask(upstream);
-    control.EndReach(Reachability::Refused);
-    control.EndReach(Reachability::Refused);
+    control.FinishConnect(Reachability::Refused);
+    control.FinishConnect(Reachability::Refused);
     CPPUNIT_ASSERT(upstream->IsSuspect(clock.Now()));
   }
 
@@ -195,8 +195,8 @@
     CPPUNIT_ASSERT(!upstream->IsSuspect(clock.Now()));
     clock.Advance(settings.firstPause);
     probe.Verify(upstream);
-    control.StaySilent();
-    control.StaySilent();
+    control.TimeOutReport();
+    control.TimeOutReport();
     CPPUNIT_ASSERT(upstream->IsSuspect(clock.Now()));
   }
 };
--- a/Zincstep/Cluster/PlacementController.cpp
+++ b/Zincstep/Cluster/PlacementController.cpp
@@ -237,7 +237,7 @@
     situation.stableDomains =
         this->StableDomains(aService.name, situation.upstreams, aNow);
   }
-  situation.onlyImproved = this->NextImproved(situation.upstreams, aNow);
+  situation.domainToImprove = this->NextImproved(situation.upstreams, aNow);
   situation.turn = this->looks;
   return situation;
 }
@@ -259,7 +259,7 @@
   const Instant now = this->clock.Now();
   Planning& planning = this->plannings[aService.name];
   planning.isUnderWay = false;
-  if (!aSituation.onlyImproved->empty()) {
+  if (!aSituation.domainToImprove->empty()) {
     this->looks += 1;
     this->nextImprove = now + this->settings.improveShare * aPlan.taken;
   }
--- a/Zincstep/Cluster/PlacementOrders.cpp
+++ b/Zincstep/Cluster/PlacementOrders.cpp
@@ -99,7 +99,7 @@
   this->Hold(*upstream, layers, aWaiting.loadTime + this->settings.orderSlack,
              AtEnd::Check);
   this->control.Place(upstream->Entry(), layers, aReport->sequence,
-                      aWaiting.order.giveUp,
+                      aWaiting.order.releaseMode,
                       [this, aWaiting](const Result<OrderOutcome>& aOutcome) {
                         this->OnOrdered(aWaiting, aOutcome);
                         this->EndCall();
--- a/Zincstep/Pool/DemandMeter.cpp
+++ b/Zincstep/Pool/DemandMeter.cpp
@@ -42,7 +42,7 @@
 void DemandMeter::OnAnswered(Micros aTaken) {
   this->answers += 1;
   const double share = std::max(kAnswerShare, 1.0 / this->answers);
-  this->answerSeconds += share * (ToSeconds(aTaken) - this->answerSeconds);
+  this->responseSeconds += share * (ToSeconds(aTaken) - this->responseSeconds);
 }
 
 std::optional<double> DemandMeter::Tokens(Instant aNow) const {
@@ -56,7 +56,7 @@
   // The average reaches back beyond the first request.
   const double weight =
       kAverageSeconds * (1 - std::exp(-seen / kAverageSeconds));
-  return recent / weight * this->answerSeconds;
+  return recent / weight * this->responseSeconds;
 }
 
 void DemandSum::Tell(const std::string& aDaemon, double aTokens, Instant aNow) {
--- a/Zincstep/Pool/DemandMeter.h
+++ b/Zincstep/Pool/DemandMeter.h
@@ -30,7 +30,7 @@
   double recent = 0;
   Instant recentAt{};
   /// Average time of an answer, in seconds.
-  double answerSeconds = 0;
+  double responseSeconds = 0;
   int answers = 0;
 };
 
--- a/Zincstep/Pool/DomainPlan.cpp
+++ b/Zincstep/Pool/DomainPlan.cpp
@@ -62,10 +62,11 @@
   return upstream.layers.Size() == 0 && upstream.acceptsOrders;
 }
 
-void DomainPlan::Order(std::size_t aIndex, LayerRange aRange, GiveUp aGiveUp) {
+void DomainPlan::Order(std::size_t aIndex, LayerRange aRange,
+                       GiveUp aReleaseMode) {
   this->layout.Set(aIndex, aRange);
   this->layout.SetOrdered(aIndex);
-  this->orders.push_back({this->layout.At(aIndex).id, aRange, aGiveUp});
+  this->orders.push_back({this->layout.At(aIndex).id, aRange, aReleaseMode});
 }
 
 void DomainPlan::LayOut() {
--- a/Zincstep/Pool/LiveUpstream.h
+++ b/Zincstep/Pool/LiveUpstream.h
@@ -165,7 +165,7 @@
   /// Something came through it, which proves that it lives.
   void OnAnswer(Instant aNow);
   /// When it was last proved to live.
-  Instant AnsweredAt() const { return this->answeredAt; }
+  Instant LastResponseAt() const { return this->answeredAt; }
 
   /// It has told how quick it is; above 1 it is slower than its kind.
   void SetSlowdown(double aPace, Instant aNow,
@@ -201,7 +201,7 @@
   /// All work in flight that is known of.
   double Work() const { return this->own + this->others; }
   /// Time of an answer of a plain service, averaged, in seconds.
-  double answerSeconds = 0;
+  double responseSeconds = 0;
   /// Requests that waited there when it last told; set back as time passes.
   double queued = 0;
   Instant queuedAt;
--- a/Zincstep/Pool/Placement.h
+++ b/Zincstep/Pool/Placement.h
@@ -38,7 +38,7 @@
 struct PlacementOrder {
   std::string id;
   LayerRange layers;
-  GiveUp giveUp = GiveUp::AbortRequests;
+  GiveUp releaseMode = GiveUp::AbortRequests;
 };
 
 /// What callers need, as it was observed.
@@ -60,7 +60,7 @@
   std::set<std::string> stableDomains;
   /// The only failure domain that is looked at for that now, as it takes some
   /// milliseconds; none: all of them.
-  std::optional<std::string> onlyImproved = std::nullopt;
+  std::optional<std::string> domainToImprove = std::nullopt;
   /// Rises with each look: a domain with too many upstreams for one look is
   /// looked at in parts, each time from another one on.
   std::uint64_t turn = 0;
--- a/Zincstep/Pool/PlacementPlanner.cpp
+++ b/Zincstep/Pool/PlacementPlanner.cpp
@@ -48,7 +48,7 @@
                     DomainLayout(aModel, this->settings.worth, demand,
                                  std::move(upstreams)));
     const bool improves =
-        !aSituation.onlyImproved || *aSituation.onlyImproved == domain;
+        !aSituation.domainToImprove || *aSituation.domainToImprove == domain;
     const auto made = plan.Make(
         improves, aSituation.stableDomains.contains(domain), aSituation.turn);
     orders.insert(orders.end(), made.begin(), made.end());
--- a/Zincstep/Pool/ServiceChooser.cpp
+++ b/Zincstep/Pool/ServiceChooser.cpp
@@ -15,8 +15,8 @@
                                        const std::string& aOwnDomain,
                                        Instant aNow) const {
   const double slots = std::max(1, aUpstream.Entry().slots);
-  const double answer = aUpstream.answerSeconds > 0
-                            ? aUpstream.answerSeconds
+  const double answer = aUpstream.responseSeconds > 0
+                            ? aUpstream.responseSeconds
                             : this->settings.firstAnswerSeconds;
   const bool remembers = aNow - aUpstream.queuedAt < this->settings.queueMemory;
   const double waiting = std::max(remembers ? aUpstream.queued : 0,
@@ -57,8 +57,9 @@
 
 void ServiceChooser::OnAnswer(LiveUpstream& aUpstream, Micros aTaken) const {
   const double taken = ToSeconds(aTaken);
-  const double share = aUpstream.answerSeconds > 0 ? this->settings.average : 1;
-  aUpstream.answerSeconds += share * (taken - aUpstream.answerSeconds);
+  const double share =
+      aUpstream.responseSeconds > 0 ? this->settings.average : 1;
+  aUpstream.responseSeconds += share * (taken - aUpstream.responseSeconds);
 }
 
 }  // namespace zincstep
--- a/Zincstep/Pool/UpstreamControl.h
+++ b/Zincstep/Pool/UpstreamControl.h
@@ -77,7 +77,7 @@
   /// Orders an upstream to hold `aLayers` if it has taken
   /// `aExpectedSequence` orders: a late or repeated order does nothing.
   virtual void Place(const UpstreamEntry& aUpstream, LayerRange aLayers,
-                     std::uint64_t aExpectedSequence, GiveUp aGiveUp,
+                     std::uint64_t aExpectedSequence, GiveUp aReleaseMode,
                      Done<OrderOutcome> aDone) = 0;
   /// Orders a running request on to another chain with the same first hop.
   virtual void Reroute(const std::string& aRequestId, const PoolChain& aChain,
--- a/Zincstep/Relay/DomainRecoveryMonitor.cpp
+++ b/Zincstep/Relay/DomainRecoveryMonitor.cpp
@@ -36,7 +36,7 @@
       continue;
     }
     Question& question = this->questions[domain];
-    if (question.asked && question.asked->AnsweredAt() >= question.at) {
+    if (question.asked && question.asked->LastResponseAt() >= question.at) {
       this->TakeBack(domain, members);
       this->questions.erase(domain);
     } else if (!question.asked || now - question.at >= kQuestionPause) {
--- a/Zincstep/Relay/StreamRepair.cpp
+++ b/Zincstep/Relay/StreamRepair.cpp
@@ -96,7 +96,7 @@
 
 void StreamExchange::AskMembers(Instant aNow) {
   for (const PoolHop& hop : this->chain) {
-    if (aNow - hop.upstream->AnsweredAt() >= kProbeSilence) {
+    if (aNow - hop.upstream->LastResponseAt() >= kProbeSilence) {
       this->context.probe.Ask(hop.upstream);
     }
   }
