--- a/PerformanceTests/PlacementBench.cpp
+++ b/PerformanceTests/PlacementBench.cpp
@@ -133,7 +133,7 @@
     const LayoutScore one =
         DomainLayout(aModel, settings, aDemand / count, upstreams).Score();
     all.gaps += one.gaps;
-    all.worth += one.worth / count;
+    all.value += one.value / count;
   }
   return all;
 }
@@ -163,7 +163,7 @@
   Carry(pool, orders);
   const LayoutScore first = ScoreOf(model, pool, demand);
   Print("placement.gaps" + suffix, first.gaps, "layers");
-  Print("placement.worth" + suffix, first.worth, "share");
+  Print("placement.worth" + suffix, first.value, "share");
 
   PlacementInput look = SituationOf(pool, demand);
   look.domainToImprove = "d0";
@@ -191,7 +191,7 @@
   const LayoutScore after = ScoreOf(model, rest, demand);
   Print("placement.moves_after_a_tenth_is_lost" + suffix, moves, "orders");
   Print("placement.millis_after_a_tenth_is_lost" + suffix, millis, "ms");
-  Print("placement.worth_after_a_tenth_is_lost" + suffix, after.worth, "share");
+  Print("placement.worth_after_a_tenth_is_lost" + suffix, after.value, "share");
 }
 
 }  // namespace
--- a/UnitTests/CallLimitReplayTest.cpp
+++ b/UnitTests/CallLimitReplayTest.cpp
@@ -130,8 +130,8 @@
       if (word.at > this->clock.Now()) {
         later.push_back(word);
       } else if (!to.isDown) {
-        to.limits->OnTold(to.upstream, word.notice,
-                          this->daemons[word.from].name);
+        to.limits->OnPeerReport(to.upstream, word.notice,
+                                this->daemons[word.from].name);
       }
     }
     this->words.insert(this->words.begin(), later.begin(), later.end());
--- a/UnitTests/ChainChooserTest.cpp
+++ b/UnitTests/ChainChooserTest.cpp
@@ -113,7 +113,7 @@
         std::string("a"),
         this->Choose("a")->at(0).upstream->Entry().failureDomain);
     for (int i = 0; i < 3; ++i) {
-      upstreams[static_cast<std::size_t>(i)]->own =
+      upstreams[static_cast<std::size_t>(i)]->localWork =
           ChainChooser::Capacity(
               model, upstreams[static_cast<std::size_t>(i)]->Entry()) *
           0.9;
@@ -127,7 +127,7 @@
     this->Add("full", "a", "h100", {0, 30});
     this->Add("free", "a", "h100", {0, 30});
     this->Add("rest", "a", "h100", {30, 80});
-    this->upstreams[0]->own =
+    this->upstreams[0]->localWork =
         ChainChooser::Capacity(model, this->upstreams[0]->Entry());
     // 50 layers of the rest leave no memory; give it room.
     this->upstreams.erase(this->upstreams.begin() + 2);
--- a/UnitTests/CrashDetectorHistoryTest.cpp
+++ b/UnitTests/CrashDetectorHistoryTest.cpp
@@ -63,7 +63,7 @@
     this->Later(delay, [report, done = std::move(aDone)] { done(report); });
   }
 
-  void Place(const UpstreamEntry&, LayerRange, std::uint64_t, GiveUp,
+  void Place(const UpstreamEntry&, LayerRange, std::uint64_t, ReleaseMode,
              Done<OrderOutcome>) override {}
   void Reroute(const std::string&, const PoolChain&,
                Done<OrderOutcome>) override {}
--- a/UnitTests/CrashDetectorTest.cpp
+++ b/UnitTests/CrashDetectorTest.cpp
@@ -150,7 +150,7 @@
   }
 
   void Answer_OfABlamedRequest_IsToldOnce() {
-    watch.Take({kGuilty, 1}, Provenance::Told);
+    watch.Take({kGuilty, 1}, Provenance::Reported);
     watch.OnAnswered(kOther);
     CPPUNIT_ASSERT_EQUAL(0, cleared);
     watch.OnAnswered(kGuilty);
@@ -165,7 +165,7 @@
     CPPUNIT_ASSERT(found.empty() && ledger.IsEmpty());
     // The upstream has ended all the same.
     CPPUNIT_ASSERT(upstream->IsSuspect(clock.Now()));
-    CPPUNIT_ASSERT(watch.Take({kOther, 2}, Provenance::Told) ==
+    CPPUNIT_ASSERT(watch.Take({kOther, 2}, Provenance::Reported) ==
                    CrashVerdict::Ignored);
   }
 
@@ -175,7 +175,7 @@
     CPPUNIT_ASSERT(watch.OnClearedByPeer(kOther));
     CPPUNIT_ASSERT(!ledger.HasCrashes(kOther));
     CPPUNIT_ASSERT(!watch.OnClearedByPeer(kOther));
-    watch.Take({kGuilty, 1}, Provenance::Told);
+    watch.Take({kGuilty, 1}, Provenance::Reported);
     CPPUNIT_ASSERT(!watch.OnClearedByPeer(kGuilty));
   }
 
--- a/UnitTests/DemandMeterTest.cpp
+++ b/UnitTests/DemandMeterTest.cpp
@@ -26,7 +26,7 @@
       clock.Advance(100ms);
       meter.OnRequest(900, clock.Now());
       if (aAnswered) {
-        meter.OnAnswered(3s);
+        meter.OnCompleted(3s);
       }
     }
   }
@@ -35,7 +35,7 @@
   void Tell(const std::string& aDaemon, double aTokens, int aSeconds) {
     for (int i = 0; i < aSeconds; ++i) {
       clock.Advance(1s);
-      sum.Tell(aDaemon, aTokens, clock.Now());
+      sum.Update(aDaemon, aTokens, clock.Now());
     }
   }
 
@@ -64,8 +64,8 @@
   void Peak_ManyDaemons_IsTheirSum() {
     for (int i = 0; i < 4; ++i) {
       clock.Advance(1s);
-      sum.Tell("a", 1000, clock.Now());
-      sum.Tell("b", 500, clock.Now());
+      sum.Update("a", 1000, clock.Now());
+      sum.Update("b", 500, clock.Now());
     }
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1500, sum.Peak(clock.Now())->tokens, 1e-6);
   }
--- a/UnitTests/IncarnationTest.cpp
+++ b/UnitTests/IncarnationTest.cpp
@@ -109,7 +109,7 @@
     this->Put("i1", "127.0.0.1:1", 1);
     const UpstreamPtr former = this->Find("i1");
     former->Suspect(clock.Now());
-    former->own = 50;
+    former->localWork = 50;
     former->SetSlowdown(7, clock.Now());
     this->Put("i1", "127.0.0.1:1", 2);
     const UpstreamPtr present = this->Find("i1");
--- a/UnitTests/PeerWorkTest.cpp
+++ b/UnitTests/PeerWorkTest.cpp
@@ -26,35 +26,35 @@
 
  public:
   void Tell_SeveralDaemons_AddsUp() {
-    one->own = 3;
-    work.Tell("a", {{one, 10}, {two, 5}}, clock.Now());
-    work.Tell("b", {{one, 20}}, clock.Now());
+    one->localWork = 3;
+    work.Update("a", {{one, 10}, {two, 5}}, clock.Now());
+    work.Update("b", {{one, 20}}, clock.Now());
     CPPUNIT_ASSERT_EQUAL(33.0, one->Work());
     CPPUNIT_ASSERT_EQUAL(5.0, two->Work());
   }
 
   void Tell_Again_ReplacesWhatWasTold() {
-    work.Tell("a", {{one, 10}}, clock.Now());
-    work.Tell("b", {{one, 20}}, clock.Now());
-    work.Tell("a", {{two, 7}}, clock.Now());
+    work.Update("a", {{one, 10}}, clock.Now());
+    work.Update("b", {{one, 20}}, clock.Now());
+    work.Update("a", {{two, 7}}, clock.Now());
     CPPUNIT_ASSERT_EQUAL(20.0, one->Work());
     CPPUNIT_ASSERT_EQUAL(7.0, two->Work());
   }
 
   void Tell_NoWork_LeavesNoRest() {
     for (int i = 0; i < 1000; ++i) {
-      work.Tell("a", {{one, 0.1 * i}}, clock.Now());
-      work.Tell("b", {{one, 1e7 / (i + 1)}}, clock.Now());
+      work.Update("a", {{one, 0.1 * i}}, clock.Now());
+      work.Update("b", {{one, 1e7 / (i + 1)}}, clock.Now());
     }
-    work.Tell("a", {}, clock.Now());
-    work.Tell("b", {}, clock.Now());
+    work.Update("a", {}, clock.Now());
+    work.Update("b", {}, clock.Now());
     CPPUNIT_ASSERT_EQUAL(0.0, one->Work());
   }
 
   void Tick_SilentDaemon_IsTakenBack() {
-    work.Tell("a", {{one, 10}}, clock.Now());
+    work.Update("a", {{one, 10}}, clock.Now());
     clock.Advance(1s);
-    work.Tell("b", {{one, 20}}, clock.Now());
+    work.Update("b", {{one, 20}}, clock.Now());
     work.Tick(clock.Now(), 1500ms);
     CPPUNIT_ASSERT_EQUAL(30.0, one->Work());
     clock.Advance(600ms);
--- a/UnitTests/PlacementOrdersTest.cpp
+++ b/UnitTests/PlacementOrdersTest.cpp
@@ -48,7 +48,7 @@
   /// One order that has been taken, at the end of the time for its load.
   void RunOneOrder() {
     this->Put("i1");
-    orders->Give(model, {"i1", kWanted, GiveUp::AbortRequests});
+    orders->Give(model, {"i1", kWanted, ReleaseMode::AbortRequests});
     control.Answer(UpstreamReport{});
     control.AcceptOrder();
     CPPUNIT_ASSERT(this->Expected("i1") == kWanted);
@@ -70,8 +70,8 @@
     const int many = 3 * settings.maxConcurrentCalls;
     for (int i = 0; i < many; ++i) {
       this->Put("i" + std::to_string(i));
-      orders->Give(model,
-                   {"i" + std::to_string(i), kWanted, GiveUp::AbortRequests});
+      orders->Give(model, {"i" + std::to_string(i), kWanted,
+                           ReleaseMode::AbortRequests});
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t(settings.maxConcurrentCalls),
                          control.asked.size());
@@ -89,7 +89,7 @@
     this->setUp();
     for (const char* id : {"i1", "i2"}) {
       this->Put(id);
-      orders->Give(model, {id, kWanted, GiveUp::AbortRequests});
+      orders->Give(model, {id, kWanted, ReleaseMode::AbortRequests});
     }
     isLeader = false;
     control.Answer(UpstreamReport{});
--- a/UnitTests/PlacementPlannerTest.cpp
+++ b/UnitTests/PlacementPlannerTest.cpp
@@ -340,7 +340,7 @@
   double WorthOf(const std::vector<PlacedUpstream>& aPool,
                  double aDemand) const {
     const LayoutScoreSettings settings;
-    return DomainLayout(model, settings, aDemand, aPool).Score().worth;
+    return DomainLayout(model, settings, aDemand, aPool).Score().value;
   }
 
   void Plan_ChangeToServeBetter_KeepsEachLayerHeld() {
--- a/UnitTests/PoolReplay.cpp
+++ b/UnitTests/PoolReplay.cpp
@@ -199,7 +199,7 @@
     readMs += share * this->load.prompt / kReadPerMs * truth.pace;
     const double held = tokens * hop.layers.Size();
     truth.used += held;
-    hop.upstream->own += held;
+    hop.upstream->localWork += held;
     stream.held.emplace_back(index, held);
   }
   stream.isSlow = stepMs * kStepsAnEvent > kLongestPauseMs;
@@ -216,7 +216,7 @@
   Stream& stream = this->streams[aStream];
   for (const auto& [index, held] : stream.held) {
     this->upstreams[index].used -= held;
-    this->daemons[stream.daemon].view[index]->own -= held;
+    this->daemons[stream.daemon].view[index]->localWork -= held;
   }
   stream.held.clear();
   this->result.interrupted += stream.isInterrupted ? 1 : 0;
@@ -247,11 +247,11 @@
     }
     std::vector<PeerShare> shares;
     for (std::size_t i = 0; i < teller.view.size(); ++i) {
-      if (teller.view[i]->own > 0) {
-        shares.push_back({other.view[i], teller.view[i]->own});
+      if (teller.view[i]->localWork > 0) {
+        shares.push_back({other.view[i], teller.view[i]->localWork});
       }
     }
-    other.told.Tell(teller.name, std::move(shares), this->now);
+    other.peerWork.Update(teller.name, std::move(shares), this->now);
   }
   this->At(this->now + kTellPause, [this, aDaemon] { this->Tell(aDaemon); });
 }
--- a/UnitTests/ScriptedControl.h
+++ b/UnitTests/ScriptedControl.h
@@ -23,8 +23,8 @@
     this->asked.push_back(aUpstream.id);
     this->open.push_back(std::move(aDone));
   }
-  void Place(const UpstreamEntry& aUpstream, LayerRange, std::uint64_t, GiveUp,
-             Done<OrderOutcome> aDone) override {
+  void Place(const UpstreamEntry& aUpstream, LayerRange, std::uint64_t,
+             ReleaseMode, Done<OrderOutcome> aDone) override {
     this->places.push_back(aUpstream.id);
     this->openPlaces.push_back(std::move(aDone));
   }
@@ -33,7 +33,7 @@
 
   void Answer(double aPace) {
     UpstreamReport report;
-    report.pace = aPace;
+    report.slowdown = aPace;
     this->Finish(report);
   }
   void Answer(const UpstreamReport& aReport) { this->Finish(aReport); }
@@ -45,7 +45,7 @@
     CPPUNIT_ASSERT(!this->openPlaces.empty());
     const auto done = std::move(this->openPlaces.front());
     this->openPlaces.pop_front();
-    done(OrderOutcome{OrderStatus::Taken, ""});
+    done(OrderOutcome{OrderStatus::Accepted, ""});
   }
 
   bool HasPendingConnect() const { return !this->openReaches.empty(); }
--- a/UnitTests/UpstreamProberTest.cpp
+++ b/UnitTests/UpstreamProberTest.cpp
@@ -119,7 +119,7 @@
   }
 
   void Pace_OutOfDate_IsOne() {
-    upstream->SetSlowdown(6, clock.Now(), Provenance::Told);
+    upstream->SetSlowdown(6, clock.Now(), Provenance::Reported);
     CPPUNIT_ASSERT_EQUAL(6.0, upstream->Slowdown(clock.Now()));
     CPPUNIT_ASSERT_EQUAL(1.0, upstream->ObservedSlowdown(clock.Now()));
     clock.Advance(3s);
@@ -157,7 +157,7 @@
     control.TimeOutReport();
     control.TimeOutReport();
     CPPUNIT_ASSERT(upstream->IsSuspect(clock.Now()));
-    CPPUNIT_ASSERT(suspicions.front() == Provenance::Told);
+    CPPUNIT_ASSERT(suspicions.front() == Provenance::Reported);
     control.Answer(1);
     clock.Advance(5s);
     probe.Ask(upstream);
--- a/Zincstep/Cluster/PlacementController.cpp
+++ b/Zincstep/Cluster/PlacementController.cpp
@@ -238,7 +238,7 @@
         this->StableDomains(aService.name, situation.upstreams, aNow);
   }
   situation.domainToImprove = this->NextImproved(situation.upstreams, aNow);
-  situation.turn = this->looks;
+  situation.passNumber = this->looks;
   return situation;
 }
 
--- a/Zincstep/Cluster/PlacementOrders.cpp
+++ b/Zincstep/Cluster/PlacementOrders.cpp
@@ -77,7 +77,7 @@
     this->EndCall();
     return;
   }
-  upstream->OnAnswer(this->clock.Now());
+  upstream->OnResponse(this->clock.Now());
   if (aReport->isBusy) {
     LogInfo("placement_busy", {{"upstream", id},
                                {"first_layer", aReport->layers.first},
@@ -85,7 +85,7 @@
                                {"running", aReport->running},
                                {"queued", aReport->queued},
                                {"memory_used", aReport->memoryUsed},
-                               {"pace", aReport->pace}});
+                               {"pace", aReport->slowdown}});
     this->Hold(*upstream, layers, this->settings.refusedPause, AtEnd::Forget);
     this->EndCall();
     return;
@@ -130,7 +130,7 @@
     this->Hold(upstream, order.layers,
                aWaiting.loadTime + this->settings.unansweredPause,
                AtEnd::Check);
-  } else if (aOutcome->answer != OrderStatus::Taken) {
+  } else if (aOutcome->status != OrderStatus::Accepted) {
     LogWarning("placement_refused", {{"upstream", order.id}});
     this->Hold(upstream, order.layers, this->settings.refusedPause,
                AtEnd::Forget);
@@ -188,7 +188,7 @@
     this->OnSilent(*aUpstream, aReport.error());
     return;
   }
-  aUpstream->OnAnswer(this->clock.Now());
+  aUpstream->OnResponse(this->clock.Now());
   if (aReport->isBusy || aReport->layers == aLayers) {
     this->Hold(*aUpstream, aLayers, this->settings.checkPause, AtEnd::Check);
     return;
--- a/Zincstep/Edge/EdgeDaemon.cpp
+++ b/Zincstep/Edge/EdgeDaemon.cpp
@@ -340,7 +340,7 @@
   CrashGossip unrelated;
   for (const UpstreamCrash& crash : aGossip.crashes) {
     const CrashVerdict verdict =
-        this->crashDetector.Take(crash, Provenance::Told);
+        this->crashDetector.Take(crash, Provenance::Reported);
     if (verdict == CrashVerdict::Ignored) {
       unrelated.cleared.push_back(crash.request);
     }
@@ -367,7 +367,8 @@
     if (!upstream) {
       continue;
     }
-    if (const auto known = this->limits.OnTold(upstream, notice, aReporter)) {
+    if (const auto known =
+            this->limits.OnPeerReport(upstream, notice, aReporter)) {
       newer.limits.push_back(*known);
     }
   }
--- a/Zincstep/Edge/PeerProtocol.cpp
+++ b/Zincstep/Edge/PeerProtocol.cpp
@@ -151,7 +151,7 @@
   if (const auto* gossip = std::get_if<WorkGossip>(&aMessage.body)) {
     this->OnGossip(aMessage.sender, *gossip);
   } else if (const auto* demand = std::get_if<DemandGossip>(&aMessage.body)) {
-    this->demand.Tell(aMessage.sender, demand->tokens, this->clock.Now());
+    this->demand.Update(aMessage.sender, demand->tokens, this->clock.Now());
   } else if (const auto* crashes = std::get_if<CrashGossip>(&aMessage.body)) {
     this->onCrashes(*crashes, aMessage.replyTo);
   } else if (const auto* limits = std::get_if<LimitGossip>(&aMessage.body)) {
@@ -199,13 +199,13 @@
       shares.push_back({upstream, work.work});
     }
     if (work.slowdown > 1 && upstream->Slowdown(now) <= 1) {
-      upstream->SetSlowdown(work.slowdown, now, Provenance::Told);
+      upstream->SetSlowdown(work.slowdown, now, Provenance::Reported);
     }
     if (work.isSuspect && !upstream->IsSuspect(now)) {
       this->onSuspicion(upstream);
     }
   }
-  this->work.Tell(aSender, std::move(shares), now);
+  this->work.Update(aSender, std::move(shares), now);
 }
 
 void PeerProtocol::OnQuery(const std::string& aSender,
@@ -374,7 +374,7 @@
     return;
   }
   if (this->placementLeader == this->settings.name) {
-    this->demand.Tell(this->settings.name, *local, aNow);
+    this->demand.Update(this->settings.name, *local, aNow);
   } else {
     this->SendToPlacementLeader(DemandGossip{*local});
   }
@@ -405,9 +405,9 @@
     const bool isSuspect = upstream->IsSuspect(now);
     hasSuspects = hasSuspects || isSuspect;
     const double slowdown = upstream->ObservedSlowdown(now);
-    if (upstream->own > 0 || isSuspect || slowdown > 1) {
+    if (upstream->localWork > 0 || isSuspect || slowdown > 1) {
       gossip.works.push_back(
-          {upstream->Number(), upstream->own, isSuspect, slowdown});
+          {upstream->Number(), upstream->localWork, isSuspect, slowdown});
     }
   }
   // An empty message is sent once, to clear the work sent before.
--- a/Zincstep/Pool/CallLimits.cpp
+++ b/Zincstep/Pool/CallLimits.cpp
@@ -26,8 +26,8 @@
 void CallLimits::OnNotice(const UpstreamPtr& aUpstream,
                           const UpstreamNotice& aNotice, Instant aSentAt) {
   const Instant now = this->clock.Now();
-  if (aNotice.rest) {
-    this->ApplyBackoff(*aUpstream, *aNotice.rest, now);
+  if (aNotice.backoff) {
+    this->ApplyBackoff(*aUpstream, *aNotice.backoff, now);
   }
   if (aNotice.isLeaving && !aUpstream->IsDraining()) {
     aUpstream->SetLeaving(now);
@@ -67,9 +67,9 @@
           {{"upstream", aUpstream.Entry().id}, {"rest_ms", aRest / 1ms}});
 }
 
-std::optional<LimitNotice> CallLimits::OnTold(const UpstreamPtr& aUpstream,
-                                              const LimitNotice& aNotice,
-                                              const std::string& aReporter) {
+std::optional<LimitNotice> CallLimits::OnPeerReport(
+    const UpstreamPtr& aUpstream, const LimitNotice& aNotice,
+    const std::string& aReporter) {
   const Instant now = this->clock.Now();
   const Instant answeredAt = now - aNotice.age;
   const auto known = this->limits.find(aUpstream->Number());
@@ -94,7 +94,7 @@
   limit.callsPerSecond = aNotice.callsPerSecond;
   limit.answeredAt = answeredAt;
   if (isChanged) {
-    this->LogChange(limit, Provenance::Told);
+    this->LogChange(limit, Provenance::Reported);
     this->Apply(limit, now);
   }
   return std::nullopt;
@@ -220,7 +220,7 @@
 }
 
 void CallLimits::LogChange(const Limit& aLimit, Provenance aProvenance) const {
-  const bool isTold = aProvenance == Provenance::Told;
+  const bool isTold = aProvenance == Provenance::Reported;
   if (!aLimit.callsPerSecond) {
     LogInfo("upstream_limit_lifted",
             {{"upstream", aLimit.upstream->Entry().id}, {"told", isTold}});
--- a/Zincstep/Pool/CallLimits.h
+++ b/Zincstep/Pool/CallLimits.h
@@ -76,9 +76,9 @@
                 Instant aSentAt);
   /// The daemon `aReporter` tells of `aUpstream`; gives what it should hear
   /// back where more recent word is known here.
-  std::optional<LimitNotice> OnTold(const UpstreamPtr& aUpstream,
-                                    const LimitNotice& aNotice,
-                                    const std::string& aReporter);
+  std::optional<LimitNotice> OnPeerReport(const UpstreamPtr& aUpstream,
+                                          const LimitNotice& aNotice,
+                                          const std::string& aReporter);
   /// A call to an upstream begins.
   void OnCall(LiveUpstream& aUpstream, UpstreamCall aCall);
   /// Sets the parts anew, tells the others and logs the calls; to be called
--- a/Zincstep/Pool/CountedControl.cpp
+++ b/Zincstep/Pool/CountedControl.cpp
@@ -35,8 +35,8 @@
 }
 
 void CountedControl::Place(const UpstreamEntry& aUpstream, LayerRange aLayers,
-                           std::uint64_t aExpectedSequence, GiveUp aReleaseMode,
-                           Done<OrderOutcome> aDone) {
+                           std::uint64_t aExpectedSequence,
+                           ReleaseMode aReleaseMode, Done<OrderOutcome> aDone) {
   this->Count(aUpstream.Incarnation().Number(), UpstreamCall::Order);
   this->control.Place(aUpstream, aLayers, aExpectedSequence, aReleaseMode,
                       std::move(aDone));
--- a/Zincstep/Pool/CountedControl.h
+++ b/Zincstep/Pool/CountedControl.h
@@ -22,7 +22,7 @@
   void Report(const UpstreamEntry& aUpstream, Micros aTimeout,
               Done<UpstreamReport> aDone) override;
   void Place(const UpstreamEntry& aUpstream, LayerRange aLayers,
-             std::uint64_t aExpectedSequence, GiveUp aReleaseMode,
+             std::uint64_t aExpectedSequence, ReleaseMode aReleaseMode,
              Done<OrderOutcome> aDone) override;
   void Reroute(const std::string& aRequestId, const PoolChain& aChain,
                Done<OrderOutcome> aDone) override;
--- a/Zincstep/Pool/DemandMeter.cpp
+++ b/Zincstep/Pool/DemandMeter.cpp
@@ -39,7 +39,7 @@
   this->recentAt = aNow;
 }
 
-void DemandMeter::OnAnswered(Micros aTaken) {
+void DemandMeter::OnCompleted(Micros aTaken) {
   this->answers += 1;
   const double share = std::max(kAnswerShare, 1.0 / this->answers);
   this->responseSeconds += share * (ToSeconds(aTaken) - this->responseSeconds);
@@ -59,7 +59,8 @@
   return recent / weight * this->responseSeconds;
 }
 
-void DemandSum::Tell(const std::string& aDaemon, double aTokens, Instant aNow) {
+void DemandSum::Update(const std::string& aDaemon, double aTokens,
+                       Instant aNow) {
   if (!this->firstAt) {
     this->firstAt = aNow;
   }
--- a/Zincstep/Pool/DemandMeter.h
+++ b/Zincstep/Pool/DemandMeter.h
@@ -20,7 +20,7 @@
   /// A request of that many tokens has come, whatever becomes of it.
   void OnRequest(double aTokens, Instant aNow);
   /// A request was answered whole within `aTaken`.
-  void OnAnswered(Micros aTaken);
+  void OnCompleted(Micros aTaken);
   /// The estimate; none until requests have come and been answered for a while.
   std::optional<double> Tokens(Instant aNow) const;
 
@@ -39,7 +39,7 @@
 class DemandSum {
  public:
   /// What a daemon's own meter says.
-  void Tell(const std::string& aDaemon, double aTokens, Instant aNow);
+  void Update(const std::string& aDaemon, double aTokens, Instant aNow);
   /// The sum's peak; none until daemons have told for a while, so that a daemon
   /// that takes the placement duty does not plan for a part of the traffic.
   std::optional<ObservedDemand> Peak(Instant aNow);
--- a/Zincstep/Pool/DomainLayout.cpp
+++ b/Zincstep/Pool/DomainLayout.cpp
@@ -188,7 +188,7 @@
   }
   lossCost *= this->times;
   this->steps += this->tokens.size() + this->classes.size();
-  score.worth = this->Served(rated) - this->settings.lossRate * lossCost;
+  score.value = this->Served(rated) - this->settings.lossRate * lossCost;
   return score;
 }
 
--- a/Zincstep/Pool/DomainLayout.h
+++ b/Zincstep/Pool/DomainLayout.h
@@ -40,11 +40,11 @@
   /// Layers that nobody holds.
   int gaps = 0;
   /// Share of the demand that is served in the mean, losses included.
-  double worth = 0;
+  double value = 0;
 
   bool IsBetterThan(const LayoutScore& aOther) const {
     return this->gaps != aOther.gaps ? this->gaps < aOther.gaps
-                                     : this->worth > aOther.worth;
+                                     : this->value > aOther.value;
   }
 };
 
--- a/Zincstep/Pool/DomainPlan.cpp
+++ b/Zincstep/Pool/DomainPlan.cpp
@@ -63,7 +63,7 @@
 }
 
 void DomainPlan::Order(std::size_t aIndex, LayerRange aRange,
-                       GiveUp aReleaseMode) {
+                       ReleaseMode aReleaseMode) {
   this->layout.Set(aIndex, aRange);
   this->layout.SetOrdered(aIndex);
   this->orders.push_back({this->layout.At(aIndex).id, aRange, aReleaseMode});
@@ -107,7 +107,7 @@
                           const std::vector<LayerRange>& aRanges) {
   for (std::size_t i = 0; i < aUpstreams.size(); ++i) {
     if (aRanges[i].Size() > 0) {
-      this->Order(aUpstreams[i], aRanges[i], GiveUp::AbortRequests);
+      this->Order(aUpstreams[i], aRanges[i], ReleaseMode::AbortRequests);
     }
   }
 }
@@ -146,7 +146,7 @@
   const double share = all > 0 ? std::min(1.0, times * memory / all) : 0;
   DomainPlan plan(
       this->model, this->settings,
-      DomainLayout(this->model, this->settings.worth,
+      DomainLayout(this->model, this->settings.layoutScore,
                    this->layout.Demand() * share, std::move(upstreams), times));
   PartPlan made = plan.MakePart(kPartStepsEach * aPart.size());
   this->partSteps += plan.Steps();
@@ -207,7 +207,7 @@
     const Move best =
         this->BestOf(i, this->choices.At(i, this->choices.Edges()));
     if (best.layers.Size() > 0) {
-      this->Order(i, best.layers, GiveUp::AbortRequests);
+      this->Order(i, best.layers, ReleaseMode::AbortRequests);
     }
   }
 }
@@ -217,7 +217,7 @@
   best.score = this->layout.Score();
   for (const std::size_t i : this->Changeable()) {
     Move move = this->BestOf(i, this->choices.For(i, aGap));
-    move.score.worth -= this->CostOf(i, move.layers);
+    move.score.value -= this->CostOf(i, move.layers);
     if (move.score.IsBetterThan(best.score)) {
       best = move;
     }
@@ -238,7 +238,7 @@
       from = gap.last;
       continue;
     }
-    this->Order(best.index, best.layers, GiveUp::AbortRequests);
+    this->Order(best.index, best.layers, ReleaseMode::AbortRequests);
   }
 }
 
@@ -249,7 +249,7 @@
   const LayoutScore meanwhile = this->layout.ScoreWith(aIndex, stays);
   const double lost = meanwhile.gaps > now.gaps
                           ? 1
-                          : std::max(0.0, now.worth - meanwhile.worth);
+                          : std::max(0.0, now.value - meanwhile.value);
   const double loading = ToSeconds(this->model.loadTime) *
                          (aLayers.Size() - stays.Size()) / this->model.layers;
   const double givingUp =
@@ -275,7 +275,7 @@
   while (isBetter && this->HasTimeLeft()) {
     Move best;
     best.score = this->layout.Score();
-    best.score.worth += this->settings.minGain;
+    best.score.value += this->settings.minGain;
     for (const std::size_t i : this->Representatives()) {
       const Move move = this->BestOf(i, this->choices.At(i, edges));
       best = move.score.IsBetterThan(best.score) ? move : best;
@@ -291,13 +291,13 @@
   const LayoutScore present = this->layout.Score();
   // Nothing is worth more than serving all without any loss.
   const double most = 1;
-  if (present.gaps > 0 || present.worth + this->settings.minGain >= most) {
+  if (present.gaps > 0 || present.value + this->settings.minGain >= most) {
     return;
   }
   const bool onlyGrows = !aIsStable || this->IsChanging();
   Move best;
   best.score = present;
-  best.score.worth += this->settings.minGain;
+  best.score.value += this->settings.minGain;
   const std::vector<int> edges = this->choices.Edges();
   std::vector<std::size_t> upstreams = this->Changeable();
   std::rotate(upstreams.begin(),
@@ -314,7 +314,7 @@
     }
   }
   if (best.layers.Size() > 0) {
-    this->Order(best.index, best.layers, GiveUp::DrainRequests);
+    this->Order(best.index, best.layers, ReleaseMode::DrainRequests);
   }
 }
 
@@ -335,7 +335,7 @@
 void DomainPlan::Consider(Move& aBest, std::size_t aIndex, LayerRange aRange) {
   LayoutScore score = this->layout.ScoreWith(aIndex, aRange);
   if (score.IsBetterThan(aBest.score)) {
-    score.worth -= this->CostOf(aIndex, aRange);
+    score.value -= this->CostOf(aIndex, aRange);
     if (score.IsBetterThan(aBest.score)) {
       aBest = {aIndex, aRange, score};
     }
@@ -371,7 +371,7 @@
   this->layout.Set(aShrinking, aShrunk);
   LayoutScore score = this->layout.ScoreWith(aGrowing, aGrown);
   this->layout.Set(aShrinking, before);
-  score.worth -= cost;
+  score.value -= cost;
   if (score.IsBetterThan(aBest.score)) {
     aBest = {aGrowing, aGrown, score};
   }
--- a/Zincstep/Pool/DomainPlan.h
+++ b/Zincstep/Pool/DomainPlan.h
@@ -54,7 +54,7 @@
 
   bool IsEmpty(std::size_t aIndex) const;
 
-  void Order(std::size_t aIndex, LayerRange aRange, GiveUp aReleaseMode);
+  void Order(std::size_t aIndex, LayerRange aRange, ReleaseMode aReleaseMode);
 
   /// Lays out the upstreams that hold nothing: as a whole where nobody holds
   /// anything, in parts of the best size where they are many.
--- a/Zincstep/Pool/LiveUpstream.cpp
+++ b/Zincstep/Pool/LiveUpstream.cpp
@@ -83,7 +83,7 @@
   this->suspectedAt = aNow;
 }
 
-void LiveUpstream::OnAnswer(Instant aNow) {
+void LiveUpstream::OnResponse(Instant aNow) {
   this->answeredAt = std::max(this->answeredAt, aNow);
   if (aNow > this->suspectedAt) {
     this->ClearSuspicion();
@@ -113,16 +113,16 @@
 }
 
 void LiveUpstream::AddRemoteWork(double aWork) {
-  this->others += aWork;
-  this->othersCount += 1;
+  this->remoteWork += aWork;
+  this->remoteDaemons += 1;
 }
 
 void LiveUpstream::RemoveRemoteWork(double aWork) {
-  ZINCSTEP_ASSERT(this->othersCount > 0);
-  this->othersCount -= 1;
+  ZINCSTEP_ASSERT(this->remoteDaemons > 0);
+  this->remoteDaemons -= 1;
   // Sums of fractions leave a rest: where nobody has work there is none.
-  this->others =
-      this->othersCount == 0 ? 0 : std::max(0.0, this->others - aWork);
+  this->remoteWork =
+      this->remoteDaemons == 0 ? 0 : std::max(0.0, this->remoteWork - aWork);
 }
 
 }  // namespace zincstep
--- a/Zincstep/Pool/LiveUpstream.h
+++ b/Zincstep/Pool/LiveUpstream.h
@@ -23,7 +23,7 @@
 ///
 /// What was told is not told on: two daemons would keep it alive between
 /// them after whoever found it has seen that it is over.
-enum class Provenance { Observed, Told };
+enum class Provenance { Observed, Reported };
 
 /// One start of an upstream. It may start again under the id that it had, and
 /// then holds and knows nothing of before.
@@ -163,7 +163,7 @@
   Micros CallWait(Instant aNow) const;
 
   /// Something came through it, which proves that it lives.
-  void OnAnswer(Instant aNow);
+  void OnResponse(Instant aNow);
   /// When it was last proved to live.
   Instant LastResponseAt() const { return this->answeredAt; }
 
@@ -193,25 +193,25 @@
   /// Whether it is taken to refuse all new work.
   bool IsRefusing(Instant aNow) const { return aNow < this->refusingUntil; }
   /// Work of this daemon in flight, in tokens x layers or in requests.
-  double own = 0;
+  double localWork = 0;
   /// Another daemon has that much work in flight; see `PeerWork`.
   void AddRemoteWork(double aWork);
   /// Takes back what was added before.
   void RemoveRemoteWork(double aWork);
   /// All work in flight that is known of.
-  double Work() const { return this->own + this->others; }
+  double Work() const { return this->localWork + this->remoteWork; }
   /// Time of an answer of a plain service, averaged, in seconds.
   double responseSeconds = 0;
   /// Requests that waited there when it last told; set back as time passes.
-  double queued = 0;
-  Instant queuedAt;
+  double queuedRequests = 0;
+  Instant queueReportedAt;
 
  private:
   UpstreamEntry entry;
   std::uint64_t number;
   /// Work of all other daemons, and how many of them have some.
-  double others = 0;
-  int othersCount = 0;
+  double remoteWork = 0;
+  int remoteDaemons = 0;
   /// None: it names no limit.
   std::optional<CallShare> callShare;
   Instant backoffUntil{};
@@ -225,7 +225,7 @@
   int suspicions = 0;
   double pace = 1;
   Instant slowdownAt{};
-  Provenance slowdownProvenance = Provenance::Told;
+  Provenance slowdownProvenance = Provenance::Reported;
   /// It has said so itself; its entry may be written before it says so too.
   bool isLeaving = false;
   bool isDeregistered = false;
--- a/Zincstep/Pool/PeerWork.cpp
+++ b/Zincstep/Pool/PeerWork.cpp
@@ -9,8 +9,8 @@
   aTold.shares.clear();
 }
 
-void PeerWork::Tell(const std::string& aDaemon, std::vector<PeerShare> aShares,
-                    Instant aNow) {
+void PeerWork::Update(const std::string& aDaemon,
+                      std::vector<PeerShare> aShares, Instant aNow) {
   Told& told = this->byDaemon[aDaemon];
   TakeBack(told);
   told.shares = std::move(aShares);
--- a/Zincstep/Pool/PeerWork.h
+++ b/Zincstep/Pool/PeerWork.h
@@ -25,8 +25,8 @@
 class PeerWork {
  public:
   /// Replaces what `aDaemon` told before.
-  void Tell(const std::string& aDaemon, std::vector<PeerShare> aShares,
-            Instant aNow);
+  void Update(const std::string& aDaemon, std::vector<PeerShare> aShares,
+              Instant aNow);
   /// Takes back what daemons told that have told nothing for `aLife`: they
   /// have ended or are cut off.
   void Tick(Instant aNow, Micros aLife);
--- a/Zincstep/Pool/Placement.h
+++ b/Zincstep/Pool/Placement.h
@@ -12,7 +12,7 @@
 namespace zincstep {
 
 /// What becomes of requests at an upstream that gives layers up.
-enum class GiveUp {
+enum class ReleaseMode {
   /// They end first; the new layers are loaded after that.
   DrainRequests,
   /// They are cut off, and go on elsewhere.
@@ -38,7 +38,7 @@
 struct PlacementOrder {
   std::string id;
   LayerRange layers;
-  GiveUp releaseMode = GiveUp::AbortRequests;
+  ReleaseMode releaseMode = ReleaseMode::AbortRequests;
 };
 
 /// What callers need, as it was observed.
@@ -63,7 +63,7 @@
   std::optional<std::string> domainToImprove = std::nullopt;
   /// Rises with each look: a domain with too many upstreams for one look is
   /// looked at in parts, each time from another one on.
-  std::uint64_t turn = 0;
+  std::uint64_t passNumber = 0;
 };
 
 /// What a plan has cost: the layers and classes of upstreams that scores of
--- a/Zincstep/Pool/PlacementPlanner.cpp
+++ b/Zincstep/Pool/PlacementPlanner.cpp
@@ -45,12 +45,13 @@
         std::max(allRoom > 0 ? seen.tokens * room / allRoom : 0,
                  seen.priorLeft * this->settings.priorShare * room);
     DomainPlan plan(aModel, this->settings,
-                    DomainLayout(aModel, this->settings.worth, demand,
+                    DomainLayout(aModel, this->settings.layoutScore, demand,
                                  std::move(upstreams)));
     const bool improves =
         !aSituation.domainToImprove || *aSituation.domainToImprove == domain;
-    const auto made = plan.Make(
-        improves, aSituation.stableDomains.contains(domain), aSituation.turn);
+    const auto made =
+        plan.Make(improves, aSituation.stableDomains.contains(domain),
+                  aSituation.passNumber);
     orders.insert(orders.end(), made.begin(), made.end());
     if (aEffort != nullptr) {
       aEffort->steps += plan.Steps();
--- a/Zincstep/Pool/PlacementPlanner.h
+++ b/Zincstep/Pool/PlacementPlanner.h
@@ -9,7 +9,7 @@
 
 /// Settings of placement.
 struct PlacementSettings {
-  LayoutScoreSettings worth;
+  LayoutScoreSettings layoutScore;
   /// Demand of a failure domain before any traffic was seen, as a share of the
   /// requests that one copy of the model leaves memory for. Both first users'
   /// pools and the third one's have 0.28 to 0.38 at their usual peak (tokens in
--- a/Zincstep/Pool/ServiceChooser.cpp
+++ b/Zincstep/Pool/ServiceChooser.cpp
@@ -18,8 +18,9 @@
   const double answer = aUpstream.responseSeconds > 0
                             ? aUpstream.responseSeconds
                             : this->settings.firstAnswerSeconds;
-  const bool remembers = aNow - aUpstream.queuedAt < this->settings.queueMemory;
-  const double waiting = std::max(remembers ? aUpstream.queued : 0,
+  const bool remembers =
+      aNow - aUpstream.queueReportedAt < this->settings.queueMemory;
+  const double waiting = std::max(remembers ? aUpstream.queuedRequests : 0,
                                   std::max(0.0, aUpstream.Work() + 1 - slots));
   const double away = aUpstream.Entry().failureDomain == aOwnDomain
                           ? 0
@@ -55,7 +56,7 @@
   return best;
 }
 
-void ServiceChooser::OnAnswer(LiveUpstream& aUpstream, Micros aTaken) const {
+void ServiceChooser::OnResponse(LiveUpstream& aUpstream, Micros aTaken) const {
   const double taken = ToSeconds(aTaken);
   const double share =
       aUpstream.responseSeconds > 0 ? this->settings.average : 1;
--- a/Zincstep/Pool/ServiceChooser.h
+++ b/Zincstep/Pool/ServiceChooser.h
@@ -34,7 +34,7 @@
                      const std::vector<UpstreamPtr>& aTried, Instant aNow,
                      Random& aRandom) const;
   /// An upstream has answered a request after `aTaken`.
-  void OnAnswer(LiveUpstream& aUpstream, Micros aTaken) const;
+  void OnResponse(LiveUpstream& aUpstream, Micros aTaken) const;
 
  private:
   double ExpectedSeconds(const LiveUpstream& aUpstream,
--- a/Zincstep/Pool/UpstreamCall.h
+++ b/Zincstep/Pool/UpstreamCall.h
@@ -23,7 +23,7 @@
   std::optional<double> callsPerSecond;
   /// It turns the call away and wants none from this daemon for so long; none:
   /// it does not say so.
-  std::optional<Micros> rest;
+  std::optional<Micros> backoff;
   /// It leaves: it finishes what it runs, and wants nothing new.
   bool isLeaving = false;
 };
--- a/Zincstep/Pool/UpstreamControl.h
+++ b/Zincstep/Pool/UpstreamControl.h
@@ -30,7 +30,7 @@
   int running = 0;
   int queued = 0;
   /// Above 1 it is slower than its kind.
-  double pace = 1;
+  double slowdown = 1;
   /// Memory for requests that is in use, and all of it, in tokens x layers.
   double memoryUsed = 0;
   double memoryTotal = 0;
@@ -41,7 +41,7 @@
 /// What an upstream says to an order.
 enum class OrderStatus {
   /// Begun, or holds already.
-  Taken,
+  Accepted,
   /// Does not fit what it holds or has done.
   Refused,
   /// It does not know the request that the order is about.
@@ -50,7 +50,7 @@
 
 /// An answer with the address that an upstream blames, if any.
 struct OrderOutcome {
-  OrderStatus answer = OrderStatus::Refused;
+  OrderStatus status = OrderStatus::Refused;
   std::string atFault;
 };
 
@@ -77,7 +77,7 @@
   /// Orders an upstream to hold `aLayers` if it has taken
   /// `aExpectedSequence` orders: a late or repeated order does nothing.
   virtual void Place(const UpstreamEntry& aUpstream, LayerRange aLayers,
-                     std::uint64_t aExpectedSequence, GiveUp aReleaseMode,
+                     std::uint64_t aExpectedSequence, ReleaseMode aReleaseMode,
                      Done<OrderOutcome> aDone) = 0;
   /// Orders a running request on to another chain with the same first hop.
   virtual void Reroute(const std::string& aRequestId, const PoolChain& aChain,
--- a/Zincstep/Relay/CrashDetector.cpp
+++ b/Zincstep/Relay/CrashDetector.cpp
@@ -263,8 +263,9 @@
     this->blamedHere.insert(aCrash.request);
   }
   if (verdict == CrashVerdict::Blocked) {
-    LogWarning("request_blocked", {{"fingerprint", TextOf(aCrash.request)},
-                                   {"told", aProvenance == Provenance::Told}});
+    LogWarning("request_blocked",
+               {{"fingerprint", TextOf(aCrash.request)},
+                {"told", aProvenance == Provenance::Reported}});
     this->listener.OnBlocked(aCrash.request);
   }
   return verdict;
--- a/Zincstep/Relay/Exchange.cpp
+++ b/Zincstep/Relay/Exchange.cpp
@@ -208,7 +208,7 @@
            {"upstream", this->upstream->Entry().id},
            {"status", aStatus},
            {"at_fault", aFacts.atFault},
-           {"rest_ms", aFacts.notice.rest.value_or(Micros{0}) / 1ms},
+           {"rest_ms", aFacts.notice.backoff.value_or(Micros{0}) / 1ms},
            {"answered_by", aFacts.answeredBy}});
   if (isSucceeded) {
     this->upstream->SetEnded(this->Now());
--- a/Zincstep/Relay/ServiceExchange.cpp
+++ b/Zincstep/Relay/ServiceExchange.cpp
@@ -33,7 +33,7 @@
   this->head = HttpHead{};
   this->facts = ResponseInfo{};
   this->body.clear();
-  chosen->own += 1;
+  chosen->localWork += 1;
   this->Send(chosen, nullptr, std::nullopt);
   if (!this->call) {
     this->EndCall();
@@ -49,7 +49,7 @@
 
 void ServiceExchange::EndCall() {
   if (this->upstream) {
-    this->upstream->own -= 1;
+    this->upstream->localWork -= 1;
   }
 }
 
@@ -135,10 +135,10 @@
     this->OnFailure(reason);
     return;
   }
-  this->upstream->OnAnswer(now);
+  this->upstream->OnResponse(now);
   if (this->facts.waiting) {
-    this->upstream->queued = *this->facts.waiting;
-    this->upstream->queuedAt = now;
+    this->upstream->queuedRequests = *this->facts.waiting;
+    this->upstream->queueReportedAt = now;
   }
   if (this->facts.isNotRun) {
     this->OnRefused(this->facts, this->head.status);
@@ -149,7 +149,7 @@
   this->context.crashDetector.OnUpstreamAnswered(*this->upstream, this->sentAt);
   this->hasBegun = true;
   this->runs += 1;
-  this->context.services.OnAnswer(*this->upstream, now - this->sentAt);
+  this->context.services.OnResponse(*this->upstream, now - this->sentAt);
   if (this->head.status >= kFirstServerError && this->MayRunAgain() &&
       this->TryAcquireRetry(this->context.settings.reservedForStreams)) {
     this->TrySend();
--- a/Zincstep/Relay/StreamExchange.cpp
+++ b/Zincstep/Relay/StreamExchange.cpp
@@ -45,14 +45,14 @@
   this->Release();
   for (const PoolHop& hop : aChain) {
     const double amount = this->tokens * hop.layers.Size();
-    hop.upstream->own += amount;
+    hop.upstream->localWork += amount;
     this->reserved.emplace_back(hop.upstream, amount);
   }
 }
 
 void StreamExchange::Release() {
   for (const auto& [holder, amount] : this->reserved) {
-    holder->own -= amount;
+    holder->localWork -= amount;
   }
   this->reserved.clear();
 }
@@ -197,7 +197,7 @@
   }
   const bool isWhole = aEnd == SingleCallEnd::Complete && !this->isForeign;
   if (isWhole && this->facts.isNotRun) {
-    this->upstream->OnAnswer(now);
+    this->upstream->OnResponse(now);
     this->OnRefused(this->facts, this->head.status);
     this->Distrust(this->facts.atFault.empty() ? this->upstream->Entry().address
                                                : this->facts.atFault,
@@ -227,7 +227,7 @@
   }
   this->Release();
   this->OnRunWhole();
-  this->context.demand.OnAnswered(this->Now() - this->request.message.readAt);
+  this->context.demand.OnCompleted(this->Now() - this->request.message.readAt);
   this->request.connection->EndChunks();
   this->Finish("answered", this->repairs > 0 ? "repaired" : "success");
 }
--- a/Zincstep/Relay/StreamRepair.cpp
+++ b/Zincstep/Relay/StreamRepair.cpp
@@ -51,7 +51,7 @@
   if (this->Silence(aNow) < kMemberSilence) {
     bool isToLeave = false;
     for (const PoolHop& hop : this->chain) {
-      hop.upstream->OnAnswer(this->lastProgress);
+      hop.upstream->OnResponse(this->lastProgress);
       isToLeave = isToLeave || this->IsLeft(hop, aNow);
     }
     if (isToLeave && this->headSent) {
@@ -166,7 +166,7 @@
                             {"memory_used", aReport->memoryUsed},
                             {"memory_total", aReport->memoryTotal},
                             {"own_view", aUpstream->Work()},
-                            {"pace", aReport->pace},
+                            {"pace", aReport->slowdown},
                             {"first", this->chain.front().layers.last},
                             {"hops", this->chain.size()},
                             {"stalled", aReport->stalled.size()}});
@@ -236,7 +236,7 @@
     return;
   }
   const Instant now = this->Now();
-  const bool isTaken = aOutcome && aOutcome->answer == OrderStatus::Taken;
+  const bool isTaken = aOutcome && aOutcome->status == OrderStatus::Accepted;
   LogInfo("stream_repaired", {{"request", this->request.facts.id},
                               {"taken", isTaken},
                               {"at_fault", aOutcome ? aOutcome->atFault : ""},
--- a/Zincstep/Relay/UpstreamProber.cpp
+++ b/Zincstep/Relay/UpstreamProber.cpp
@@ -43,7 +43,7 @@
   Record& record = this->records[aUpstream->Number()];
   const bool isRecent = now - record.askedAt < this->settings.firstPause;
   if (!record.isOpen && !isRecent && this->TryAcquireToken(now)) {
-    record.evidence = Provenance::Told;
+    record.evidence = Provenance::Reported;
     this->Start(record, aUpstream, now);
   }
 }
@@ -89,12 +89,12 @@
 void UpstreamProber::OnAnswer(const UpstreamPtr& aUpstream,
                               const UpstreamReport& aReport) {
   const Instant now = this->clock.Now();
-  if (aReport.pace != aUpstream->Slowdown(now)) {
+  if (aReport.slowdown != aUpstream->Slowdown(now)) {
     LogInfo("upstream_pace",
-            {{"upstream", aUpstream->Entry().id}, {"pace", aReport.pace}});
+            {{"upstream", aUpstream->Entry().id}, {"pace", aReport.slowdown}});
   }
-  aUpstream->OnAnswer(now);
-  aUpstream->SetSlowdown(aReport.pace, now);
+  aUpstream->OnResponse(now);
+  aUpstream->SetSlowdown(aReport.slowdown, now);
 }
 
 void UpstreamProber::OnSilence(const UpstreamPtr& aUpstream) {
