--- a/Zincstep/Pool/CallLimits.cpp
+++ b/Zincstep/Pool/CallLimits.cpp
@@ -7,20 +7,21 @@
 
 namespace {
 
-/// Between two log lines of the calls to one upstream.
-constexpr Micros kLinePause = 1s;
-/// A limit that has changed by less is told with the next renewal.
-constexpr double kToldChange = 0.1;
+/// Minimum time between two log lines about the calls to one upstream.
+constexpr Micros kLogInterval = 1s;
+/// Relative change from which a limit is sent at once instead of with the next
+/// renewal.
+constexpr double kBroadcastThreshold = 0.1;
 
 bool IsLargeChange(double aBefore, double aAfter) {
-  return std::abs(aAfter - aBefore) > kToldChange * aBefore;
+  return std::abs(aAfter - aBefore) > kBroadcastThreshold * aBefore;
 }
 
 }  // namespace
 
 LimitNotice CallLimits::NoticeOf(const Limit& aLimit) const {
   return {aLimit.upstream->Number(), aLimit.callsPerSecond,
-          this->clock.Now() - aLimit.answeredAt};
+          this->clock.Now() - aLimit.statedAt};
 }
 
 void CallLimits::OnNotice(const UpstreamPtr& aUpstream,
@@ -32,25 +33,27 @@
   if (aNotice.isLeaving && !aUpstream->IsDraining()) {
     aUpstream->SetLeaving(now);
     LogInfo("upstream_leaving", {{"upstream", aUpstream->Entry().id},
-                                 {"reason", "its answer says so"}});
+                                 {"reason", "announced in a response"}});
   }
-  const std::optional<double> named = aNotice.callsPerSecond;
+  const std::optional<double> newLimit = aNotice.callsPerSecond;
   const auto known = this->limits.find(aUpstream->Number());
-  if (known == this->limits.end() && !named) {
+  if (known == this->limits.end() && !newLimit) {
     return;
   }
   Limit& limit = this->limits[aUpstream->Number()];
-  // The answer to a call from before the limit was named proves no end of it.
-  const bool isOld = !named && aSentAt <= limit.answeredAt;
-  if (isOld) {
+  // A response to a call sent before the limit was stated does not show that
+  // the limit has ended.
+  const bool isOutdated = !newLimit && aSentAt <= limit.statedAt;
+  if (isOutdated) {
     return;
   }
   const std::optional<double> before = limit.callsPerSecond;
   limit.upstream = aUpstream;
-  limit.callsPerSecond = named;
-  limit.answeredAt = now;
-  const bool isChanged = before.has_value() != named.has_value() ||
-                         (before && named && IsLargeChange(*before, *named));
+  limit.callsPerSecond = newLimit;
+  limit.statedAt = now;
+  const bool isChanged =
+      before.has_value() != newLimit.has_value() ||
+      (before && newLimit && IsLargeChange(*before, *newLimit));
   if (isChanged) {
     limit.renewedAt = now;
     this->LogChange(limit, Provenance::Observed);
@@ -59,19 +62,19 @@
   }
 }
 
-void CallLimits::ApplyBackoff(LiveUpstream& aUpstream, Micros aRest,
+void CallLimits::ApplyBackoff(LiveUpstream& aUpstream, Micros aBackoff,
                               Instant aNow) {
-  aUpstream.BackOffUntil(aNow + aRest);
+  aUpstream.BackOffUntil(aNow + aBackoff);
   this->metrics.Count("zincstep_upstream_rests_total");
   LogInfo("upstream_rests",
-          {{"upstream", aUpstream.Entry().id}, {"rest_ms", aRest / 1ms}});
+          {{"upstream", aUpstream.Entry().id}, {"rest_ms", aBackoff / 1ms}});
 }
 
 std::optional<LimitNotice> CallLimits::OnPeerReport(
     const UpstreamPtr& aUpstream, const LimitNotice& aNotice,
     const std::string& aReporter) {
   const Instant now = this->clock.Now();
-  const Instant answeredAt = now - aNotice.age;
+  const Instant statedAt = now - aNotice.age;
   const auto known = this->limits.find(aUpstream->Number());
   if (known == this->limits.end() && !aNotice.callsPerSecond) {
     return std::nullopt;
@@ -80,19 +83,19 @@
   Limit& limit = this->limits[aUpstream->Number()];
   const bool isSame =
       limit.callsPerSecond.has_value() == aNotice.callsPerSecond.has_value();
-  if (!isNew && limit.answeredAt >= answeredAt && !isSame) {
+  if (!isNew && limit.statedAt >= statedAt && !isSame) {
     return this->NoticeOf(limit);
   }
   limit.upstream = aUpstream;
-  if (isNew || this->ComesBefore(limit, aReporter)) {
+  if (isNew || this->IsHigherRanked(limit, aReporter)) {
     limit.renewedAt = now;
   }
-  if (!isNew && limit.answeredAt >= answeredAt) {
+  if (!isNew && limit.statedAt >= statedAt) {
     return std::nullopt;
   }
   const bool isChanged = limit.callsPerSecond != aNotice.callsPerSecond;
   limit.callsPerSecond = aNotice.callsPerSecond;
-  limit.answeredAt = answeredAt;
+  limit.statedAt = statedAt;
   if (isChanged) {
     this->LogChange(limit, Provenance::Reported);
     this->Apply(limit, now);
@@ -100,74 +103,76 @@
   return std::nullopt;
 }
 
-CallLimits::Place CallLimits::PlaceOf(const LiveUpstream& aUpstream,
-                                      const std::string& aDaemon) const {
+CallLimits::Ranking CallLimits::RankingOf(const LiveUpstream& aUpstream,
+                                          const std::string& aDaemon) const {
   const std::string& domain = aUpstream.Entry().failureDomain;
   const std::string& ownDomain = this->settings.ownDomain;
-  const bool isServed =
+  const bool hasDomainDaemon =
       domain == ownDomain ||
       std::any_of(this->daemons.begin(), this->daemons.end(),
                   [&](const auto& aOther) { return aOther.second == domain; });
   const std::uint64_t number = aUpstream.Number();
   const std::uint64_t score = RendezvousScore(number, aDaemon);
-  Place place;
+  Ranking ranking;
   const auto add = [&](const std::string& aName, const std::string& aDomain) {
-    // Where no daemon is of the upstream's domain, any may keep its limit.
-    if (isServed && aDomain != domain) {
+    // If the upstream's domain has no daemon, daemons of all domains are
+    // candidates.
+    if (hasDomainDaemon && aDomain != domain) {
       return;
     }
-    place.daemons += 1;
-    place.isListed = place.isListed || aName == aDaemon;
-    place.rank += RendezvousScore(number, aName) > score ? 1 : 0;
+    ranking.daemons += 1;
+    ranking.isCandidate = ranking.isCandidate || aName == aDaemon;
+    ranking.rank += RendezvousScore(number, aName) > score ? 1 : 0;
   };
   add(this->settings.ownName, ownDomain);
-  for (const auto& [name, itsDomain] : this->daemons) {
-    add(name, itsDomain);
+  for (const auto& [name, peerDomain] : this->daemons) {
+    add(name, peerDomain);
   }
-  return place;
+  return ranking;
 }
 
-std::size_t CallLimits::Sharers(const Limit& aLimit,
-                                std::size_t aDaemons) const {
+std::size_t CallLimits::SharerCount(const Limit& aLimit,
+                                    std::size_t aDaemons) const {
   const double calls = aLimit.callsPerSecond.value_or(0);
-  const double wanted = std::min(1 + this->settings.sharersPerCall * calls,
-                                 static_cast<double>(aDaemons));
-  return std::max<std::size_t>(1, static_cast<std::size_t>(wanted));
+  const double sharers = std::min(1 + this->settings.sharersPerCall * calls,
+                                  static_cast<double>(aDaemons));
+  return std::max<std::size_t>(1, static_cast<std::size_t>(sharers));
 }
 
-bool CallLimits::ComesBefore(const Limit& aLimit,
-                             const std::string& aReporter) const {
-  const Place teller = this->PlaceOf(*aLimit.upstream, aReporter);
-  const Place own = this->PlaceOf(*aLimit.upstream, this->settings.ownName);
-  const std::size_t sharers = this->Sharers(aLimit, own.daemons);
-  return teller.isListed && teller.rank / sharers < own.rank / sharers;
+bool CallLimits::IsHigherRanked(const Limit& aLimit,
+                                const std::string& aReporter) const {
+  const Ranking reporter = this->RankingOf(*aLimit.upstream, aReporter);
+  const Ranking own = this->RankingOf(*aLimit.upstream, this->settings.ownName);
+  const std::size_t sharers = this->SharerCount(aLimit, own.daemons);
+  return reporter.isCandidate && reporter.rank / sharers < own.rank / sharers;
 }
 
-CallLimits::Part CallLimits::PartOf(const Limit& aLimit, Instant aNow) const {
-  const Place place = this->PlaceOf(*aLimit.upstream, this->settings.ownName);
-  if (!place.isListed) {
+CallLimits::Share CallLimits::ShareOf(const Limit& aLimit, Instant aNow) const {
+  const Ranking ranking =
+      this->RankingOf(*aLimit.upstream, this->settings.ownName);
+  if (!ranking.isCandidate) {
     return {};
   }
-  const std::size_t sharers = this->Sharers(aLimit, place.daemons);
-  const std::size_t group = place.rank / sharers;
-  const Micros silence = aNow - aLimit.renewedAt;
-  const bool isDue =
-      group == 0 ||
-      silence > this->settings.renewalLife * static_cast<std::int64_t>(group);
-  if (!isDue) {
+  const std::size_t sharers = this->SharerCount(aLimit, ranking.daemons);
+  const std::size_t group = ranking.rank / sharers;
+  const Micros sinceRenewal = aNow - aLimit.renewedAt;
+  const bool isActive =
+      group == 0 || sinceRenewal > this->settings.renewalTimeout *
+                                       static_cast<std::int64_t>(group);
+  if (!isActive) {
     return {};
   }
-  const double all =
-      std::max(*aLimit.callsPerSecond, this->settings.minPerSecond);
-  return {all / static_cast<double>(sharers),
-          place.rank % sharers < this->settings.renewers};
+  const double total =
+      std::max(*aLimit.callsPerSecond, this->settings.minCallsPerSecond);
+  return {total / static_cast<double>(sharers),
+          ranking.rank % sharers < this->settings.renewers};
 }
 
 void CallLimits::Apply(Limit& aLimit, Instant aNow) {
   if (aLimit.callsPerSecond) {
-    aLimit.upstream->SetCallRate(this->PartOf(aLimit, aNow).perSecond, aNow);
+    aLimit.upstream->SetCallRate(this->ShareOf(aLimit, aNow).perSecond, aNow);
   } else {
-    aLimit.upstream->LiftCallRate();
+    aLimit.upstream->ClearCallRate();
   }
 }
 
@@ -182,24 +187,25 @@
   }
 }
 
-bool CallLimits::IsForgotten(const Limit& aLimit, Instant aNow) const {
+bool CallLimits::IsExpired(const Limit& aLimit, Instant aNow) const {
   const bool isOver =
       !aLimit.callsPerSecond || aLimit.upstream->IsDeregistered();
-  const Instant lastSeenAt = std::max(aLimit.renewedAt, aLimit.answeredAt);
-  if (!isOver || aNow - lastSeenAt <= this->settings.endedLife) {
+  const Instant lastSeenAt = std::max(aLimit.renewedAt, aLimit.statedAt);
+  if (!isOver || aNow - lastSeenAt <= this->settings.endedLimitTtl) {
     return false;
   }
-  // It may come back, and nobody would set its part anew.
-  aLimit.upstream->LiftCallRate();
+  // The upstream may register again, and no share would be computed for it
+  // then.
+  aLimit.upstream->ClearCallRate();
   return true;
 }
 
 void CallLimits::Tick() {
   const Instant now = this->clock.Now();
   std::vector<LimitNotice> renewals;
-  std::size_t inForce = 0;
+  std::size_t activeLimits = 0;
   std::erase_if(this->limits, [&](const auto& aEntry) {
-    return this->IsForgotten(aEntry.second, now);
+    return this->IsExpired(aEntry.second, now);
   });
   for (auto& [number, limit] : this->limits) {
     this->LogCalls(limit, now);
@@ -207,31 +213,32 @@
     if (!limit.callsPerSecond) {
       continue;
     }
-    inForce += 1;
-    if (now >= limit.nextRenewal && this->PartOf(limit, now).isRenewer) {
-      limit.nextRenewal = now + this->settings.renewalPause;
+    activeLimits += 1;
+    if (now >= limit.nextRenewal && this->ShareOf(limit, now).isRenewer) {
+      limit.nextRenewal = now + this->settings.renewalInterval;
       renewals.push_back(this->NoticeOf(limit));
     }
   }
-  this->metrics.Set("zincstep_upstream_limits", static_cast<double>(inForce));
+  this->metrics.Set("zincstep_upstream_limits",
+                    static_cast<double>(activeLimits));
   if (!renewals.empty()) {
     this->broadcast(renewals);
   }
 }
 
 void CallLimits::LogChange(const Limit& aLimit, Provenance aProvenance) const {
-  const bool isTold = aProvenance == Provenance::Reported;
+  const bool isReported = aProvenance == Provenance::Reported;
   if (!aLimit.callsPerSecond) {
     LogInfo("upstream_limit_lifted",
-            {{"upstream", aLimit.upstream->Entry().id}, {"told", isTold}});
+            {{"upstream", aLimit.upstream->Entry().id}, {"told", isReported}});
     return;
   }
   LogInfo("upstream_limit_named",
           {{"upstream", aLimit.upstream->Entry().id},
            {"calls_per_second", *aLimit.callsPerSecond},
-           {"own_part", this->PartOf(aLimit, this->clock.Now()).perSecond},
-           {"age_ms", (this->clock.Now() - aLimit.answeredAt) / 1ms},
-           {"told", isTold}});
+           {"own_part", this->ShareOf(aLimit, this->clock.Now()).perSecond},
+           {"age_ms", (this->clock.Now() - aLimit.statedAt) / 1ms},
+           {"told", isReported}});
 }
 
 void CallLimits::LogCalls(Limit& aLimit, Instant aNow) const {
@@ -249,7 +256,7 @@
            {"reports", count(UpstreamCall::Report)},
            {"orders", count(UpstreamCall::Order)}});
   aLimit.calls.fill(0);
-  aLimit.nextLogAt = aNow + kLinePause;
+  aLimit.nextLogAt = aNow + kLogInterval;
 }
 
 }  // namespace zincstep
--- a/Zincstep/Pool/CallLimits.h
+++ b/Zincstep/Pool/CallLimits.h
@@ -15,129 +15,132 @@
 
 namespace zincstep {
 
-/// What a daemon tells the others of an upstream's limit.
+/// The state of an upstream's call limit, as daemons send it to each other.
 struct LimitNotice {
-  /// The upstream's number.
+  /// As `Incarnation::Number`.
   std::uint64_t upstream = 0;
-  /// None: it names no limit any more.
+  /// In calls per second for all daemons together; none: the limit has ended.
   std::optional<double> callsPerSecond;
-  /// Age of the answer that says so.
+  /// Age of the response that stated it.
   Micros age{0};
 };
 
-/// Settings of the limits that upstreams name.
+/// Settings of the call limits that upstreams state.
 struct CallLimitSettings {
   std::string ownName;
   std::string ownDomain;
-  /// Calls a second to an upstream that takes fewer: they find out when its
-  /// limit ends.
-  double minPerSecond = 0.05;
-  /// Daemons that share a limit, for each call a second, beside the first one.
-  /// Each of them may save one call up.
+  /// Lower bound in calls per second, also for an upstream that accepts fewer:
+  /// these calls discover that its limit has ended.
+  double minCallsPerSecond = 0.05;
+  /// Daemons that share a limit, per call per second and beyond the first one.
+  /// Each of them may accumulate one call.
   double sharersPerCall = 2;
-  /// Whoever may call an upstream tells the others this often that its limit
-  /// stands.
-  Micros renewalPause = 2s;
-  /// Daemons of each upstream that do so.
+  /// The daemons that may call an upstream renew its limit with the others at
+  /// this interval.
+  Micros renewalInterval = 2s;
+  /// Number of daemons per upstream that send renewals.
   std::size_t renewers = 3;
-  /// Without such word for so long the daemons that may call it have ended or
-  /// are cut off: the next of its domain call it in their stead, after twice
-  /// this those behind them, and so on.
-  Micros renewalLife = 5s;
-  /// For so long it is remembered that a limit has ended, so that older word of
-  /// it is not believed.
-  Micros endedLife = 30s;
+  /// Without a renewal for this long, the daemons that share the limit are
+  /// regarded as stopped or partitioned: the next group of its domain takes
+  /// over, after twice this time the group after that, and so on.
+  Micros renewalTimeout = 5s;
+  /// How long an ended limit is remembered, so that older notices are ignored.
+  Micros endedLimitTtl = 30s;
 };
 
-/// Which upstreams name a limit of calls for all daemons together, and this
-/// daemon's part of each; and which want a rest from this daemon.
+/// Call limits of upstreams and this daemon's share of each, and the backoff
+/// that upstreams request from this daemon.
 ///
-/// A limit is kept by few daemons of the upstream's failure domain, drawn by
-/// the upstream's number, with equal parts; the others send no calls there
-/// while it stands. So parts are large enough to be used, and what all of them
-/// save up stays below what the upstream bears at once, whatever their number.
+/// An upstream states one limit for all daemons together. A few daemons of the
+/// upstream's failure domain, selected by rendezvous hashing of the upstream's
+/// number, share it equally; the others send it no calls while the limit is
+/// active. This keeps shares large enough to be usable and the accumulated
+/// calls below what the upstream can absorb at once, whatever the number of
+/// daemons.
 class CallLimits {
  public:
-  using Tell = std::function<void(const std::vector<LimitNotice>&)>;
+  using Broadcast = std::function<void(const std::vector<LimitNotice>&)>;
 
   CallLimits(CallLimitSettings aSettings, const Clock& aClock,
-             Metrics& aMetrics, Tell aBroadcast)
+             Metrics& aMetrics, Broadcast aBroadcast)
       : settings(std::move(aSettings)),
         clock(aClock),
         metrics(aMetrics),
         broadcast(std::move(aBroadcast)) {}
 
-  /// The other daemons: their names with their failure domains.
+  /// Sets the other daemons: names and their failure domains.
   void SetDaemons(std::map<std::string, std::string> aDomainByName) {
     this->daemons = std::move(aDomainByName);
   }
-  /// The head of an answer has come, of a call that was sent at `aSentAt`.
+  /// Processes the notice in the head of a response to a call that was sent at
+  /// `aSentAt`.
   void OnNotice(const UpstreamPtr& aUpstream, const UpstreamNotice& aNotice,
                 Instant aSentAt);
-  /// The daemon `aReporter` tells of `aUpstream`; gives what it should hear
-  /// back where more recent word is known here.
+  /// Applies the notice about `aUpstream` that the daemon `aReporter` sent.
+  /// Returns the notice to send back if this daemon has more recent
+  /// information, else none.
   std::optional<LimitNotice> OnPeerReport(const UpstreamPtr& aUpstream,
                                           const LimitNotice& aNotice,
                                           const std::string& aReporter);
-  /// A call to an upstream begins.
+  /// Records that a call to an upstream starts.
   void OnCall(LiveUpstream& aUpstream, UpstreamCall aCall);
-  /// Sets the parts anew, tells the others and logs the calls; to be called
-  /// several times a second.
+  /// Recomputes the shares, sends renewals and logs the calls; call several
+  /// times per second.
   void Tick();
 
  private:
   struct Limit {
     UpstreamPtr upstream;
-    /// None: it has ended.
+    /// In calls per second; none: the limit has ended.
     std::optional<double> callsPerSecond;
-    /// When the answer that says so came, here or elsewhere.
-    Instant answeredAt;
-    /// When a daemon that comes before this one last said so.
+    /// When the response that stated it arrived, here or at another daemon.
+    Instant statedAt;
+    /// When a higher-ranked daemon last renewed it.
     Instant renewedAt;
     Instant nextRenewal{};
     std::array<int, kUpstreamCallNames.size()> calls{};
     Instant nextLogAt{};
   };
 
-  /// This daemon's part of a limit.
-  struct Part {
+  /// This daemon's share of a limit.
+  struct Share {
     double perSecond = 0;
     bool isRenewer = false;
   };
 
-  /// A daemon's place among those that may share a limit, in an order that all
-  /// of them agree on.
-  struct Place {
+  /// A daemon's position among those that may share a limit, in an order that
+  /// is the same on all daemons.
+  struct Ranking {
     std::size_t daemons = 0;
-    /// How many come before it.
+    /// Number of daemons that rank before it.
     std::size_t rank = 0;
-    /// Whether it is among them.
-    bool isListed = false;
+    /// Whether the daemon is one of the candidates.
+    bool isCandidate = false;
   };
 
-  /// An upstream wants no calls from this daemon for a time. Others are not
-  /// told: it says so to each of them.
-  void ApplyBackoff(LiveUpstream& aUpstream, Micros aRest, Instant aNow);
+  /// Stops calls from this daemon to the upstream for `aBackoff`. Other daemons
+  /// are not notified, since the upstream tells each of them itself.
+  void ApplyBackoff(LiveUpstream& aUpstream, Micros aBackoff, Instant aNow);
   LimitNotice NoticeOf(const Limit& aLimit) const;
-  Place PlaceOf(const LiveUpstream& aUpstream,
-                const std::string& aDaemon) const;
-  /// How many of them share it.
-  std::size_t Sharers(const Limit& aLimit, std::size_t aDaemons) const;
-  bool ComesBefore(const Limit& aLimit, const std::string& aReporter) const;
-  Part PartOf(const Limit& aLimit, Instant aNow) const;
+  Ranking RankingOf(const LiveUpstream& aUpstream,
+                    const std::string& aDaemon) const;
+  /// Number of daemons that share the limit, of `aDaemons` candidates.
+  std::size_t SharerCount(const Limit& aLimit, std::size_t aDaemons) const;
+  bool IsHigherRanked(const Limit& aLimit, const std::string& aReporter) const;
+  Share ShareOf(const Limit& aLimit, Instant aNow) const;
   void Apply(Limit& aLimit, Instant aNow);
-  /// Whether a limit is of no interest any more; then its upstream may be
-  /// called freely.
-  bool IsForgotten(const Limit& aLimit, Instant aNow) const;
+  /// Whether the record of an ended limit can be removed; clears the upstream's
+  /// call rate if so.
+  bool IsExpired(const Limit& aLimit, Instant aNow) const;
   void LogChange(const Limit& aLimit, Provenance aProvenance) const;
   void LogCalls(Limit& aLimit, Instant aNow) const;
 
   CallLimitSettings settings;
   const Clock& clock;
   Metrics& metrics;
-  Tell broadcast;
+  Broadcast broadcast;
   std::map<std::string, std::string> daemons;
-  /// By the numbers of the upstreams.
+  /// By upstream number.
   std::unordered_map<std::uint64_t, Limit> limits;
 };
 
--- a/Zincstep/Pool/CallShare.h
+++ b/Zincstep/Pool/CallShare.h
@@ -6,51 +6,55 @@
 
 namespace zincstep {
 
-/// This daemon's part of the calls that an upstream takes from all daemons.
+/// This daemon's share of an upstream's call limit.
 ///
-/// A bucket that is empty at first and holds one call at the most: what several
-/// daemons save up comes at one instant in the worst case.
+/// A token bucket that starts empty and holds at most one call, because in the
+/// worst case the calls that several daemons have accumulated arrive at the
+/// same instant.
 class CallShare {
  public:
-  /// Changes the rate; what has been saved up or overspent so far stays.
+  /// Changes the rate, in calls per second; accumulated or overspent calls are
+  /// kept.
   void SetRate(double aPerSecond, Instant aNow) {
-    this->tokens = this->Left(aNow);
+    this->tokens = this->Available(aNow);
     this->perSecond = aPerSecond;
-    this->at = aNow;
+    this->updatedAt = aNow;
   }
-  bool HasCall(Instant aNow) const { return this->Left(aNow) >= 1; }
-  /// Whether there has been a call for so long that nobody made.
+  bool HasCall(Instant aNow) const { return this->Available(aNow) >= 1; }
+  /// Whether a call has been available and unused for at least `kOverdueDelay`.
   bool IsOverdue(Instant aNow) const {
-    return this->HasCall(aNow) && aNow - this->spentAt >= kOverdue;
+    return this->HasCall(aNow) && aNow - this->spentAt >= kOverdueDelay;
   }
-  /// A call is made; one that cannot wait may overspend.
+  /// Consumes one call; the balance may become negative for calls that cannot
+  /// wait.
   void Spend(Instant aNow) {
     this->spentAt = aNow;
-    this->tokens = this->Left(aNow) - 1;
-    this->at = aNow;
+    this->tokens = this->Available(aNow) - 1;
+    this->updatedAt = aNow;
   }
-  /// Time until the next call; `aLongest` where there is none before.
-  Micros Wait(Instant aNow, Micros aLongest) const {
-    const double missing = std::max(0.0, 1 - this->Left(aNow));
-    if (missing > ToSeconds(aLongest) * this->perSecond) {
-      return aLongest;
+  /// Time until the next call is available, at most `aMaxWait`.
+  Micros Wait(Instant aNow, Micros aMaxWait) const {
+    const double missing = std::max(0.0, 1 - this->Available(aNow));
+    if (missing > ToSeconds(aMaxWait) * this->perSecond) {
+      return aMaxWait;
     }
     return missing > 0 ? FromSeconds(missing / this->perSecond) : Micros{0};
   }
 
  private:
-  static constexpr double kMost = 1;
-  /// Whoever is not called cannot tell that its limit has ended.
-  static constexpr Micros kOverdue = 2s;
+  static constexpr double kCapacity = 1;
+  /// Without any call, the end of an upstream's limit would go unnoticed.
+  static constexpr Micros kOverdueDelay = 2s;
 
-  double Left(Instant aNow) const {
+  double Available(Instant aNow) const {
     return std::min(
-        kMost, this->tokens + ToSeconds(aNow - this->at) * this->perSecond);
+        kCapacity,
+        this->tokens + ToSeconds(aNow - this->updatedAt) * this->perSecond);
   }
 
   double perSecond = 0;
   double tokens = 0;
-  Instant at{};
+  Instant updatedAt{};
   Instant spentAt{};
 };
 
--- a/Zincstep/Pool/ChainChooser.cpp
+++ b/Zincstep/Pool/ChainChooser.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-/// Costs are in milliseconds.
-constexpr double kMillisASecond = 1000;
-/// Keeps one part of an upstream that a cover uses twice.
+constexpr double kMillisPerSecond = 1000;
+/// Merges the stages of an upstream that occurs twice in a chain.
 ///
-/// A cheaper upstream can lie between two parts of another; the other then
-/// runs the layers between as well, since a chain names each only once.
+/// A cheaper upstream can lie between two stages of another; the other then
+/// runs the layers in between as well, since a chain names each upstream only
+/// once.
 void MergeRepeated(PoolChain& aChain) {
   for (std::size_t i = 0; i < aChain.size(); ++i) {
     for (std::size_t j = aChain.size() - 1; j > i; --j) {
@@ -47,31 +47,32 @@
                            Random& aRandom) {
   this->items.clear();
   this->freeTokens.clear();
-  const double stepMs = ToSeconds(aModel.stepTime) * kMillisASecond;
+  const double stepMs = ToSeconds(aModel.stepTime) * kMillisPerSecond;
   for (const UpstreamPtr& upstream : aUpstreams) {
     const UpstreamEntry& entry = upstream->Entry();
     const PoolKind* kind = aModel.FindKind(entry.kind);
-    const double pace = std::max(1.0, upstream->Slowdown(aNow));
+    const double slowdown = std::max(1.0, upstream->Slowdown(aNow));
     const double capacity =
         Capacity(aModel, entry) * this->settings.memoryLimit;
-    const double wanted = upstream->Work() + aTokens * entry.layers.Size();
+    const double required = upstream->Work() + aTokens * entry.layers.Size();
     SearchItem item;
     item.layers = entry.layers;
     if (!upstream->MayCall(aNow)) {
-      // Whoever runs the first layer gets the call; any other member gets none.
+      // Only the upstream of the first layer receives a call; later members
+      // receive none.
       item.layers.first = std::max(item.layers.first, 1);
     }
     item.usable = kind != nullptr && item.layers.Size() > 0 &&
-                  upstream->IsUsable(aNow) && wanted <= capacity;
+                  upstream->IsUsable(aNow) && required <= capacity;
     double freeTokens = 0;
     if (item.usable) {
-      // One that takes so many times longer works off as many times less: the
-      // same room there is worth less, or those behind it wait.
+      // A slow upstream frees memory more slowly by the same factor, so its
+      // free memory counts for less; otherwise requests queue behind it.
       freeTokens =
-          std::max(1.0, (capacity - wanted) / entry.layers.Size() / pace);
-      const double drawn = -std::log(1 - aRandom.Unit());
-      item.layerCost = stepMs / aModel.layers * kind->stepFactor * pace +
-                       drawn * aWeights.scarcityCost / freeTokens;
+          std::max(1.0, (capacity - required) / entry.layers.Size() / slowdown);
+      const double randomFactor = -std::log(1 - aRandom.Unit());
+      item.layerCost = stepMs / aModel.layers * kind->stepFactor * slowdown +
+                       randomFactor * aWeights.scarcityCost / freeTokens;
       item.fixedCost = aWeights.hopCost;
     }
     this->items.push_back(item);
@@ -79,7 +80,7 @@
   }
 }
 
-std::optional<PoolChain> ChainChooser::FindIn(
+std::optional<PoolChain> ChainChooser::FindInDomain(
     const std::vector<UpstreamPtr>& aUpstreams, const std::string& aDomain,
     LayerRange aRange) {
   this->domainItems.clear();
@@ -113,7 +114,8 @@
                 {this->settings.hopCost, this->settings.scarcityCost}, aRandom);
   for (const std::string& domain :
        this->RankDomains(aModel, aUpstreams, aOwnDomain, aRandom)) {
-    auto chain = this->FindIn(aUpstreams, domain, LayerRange{0, aModel.layers});
+    auto chain =
+        this->FindInDomain(aUpstreams, domain, LayerRange{0, aModel.layers});
     if (chain) {
       return chain;
     }
@@ -124,27 +126,27 @@
 std::vector<std::string> ChainChooser::RankDomains(
     const ModelShape& aModel, const std::vector<UpstreamPtr>& aUpstreams,
     const std::string& aOwnDomain, Random& aRandom) const {
-  std::map<std::string, std::vector<double>> roomByDomain;
+  std::map<std::string, std::vector<double>> tokensByDomain;
   for (std::size_t i = 0; i < aUpstreams.size(); ++i) {
     const LayerRange layers = this->items[i].layers;
-    auto& room = roomByDomain[aUpstreams[i]->Entry().failureDomain];
-    room.resize(static_cast<std::size_t>(aModel.layers));
+    auto& tokensByLayer = tokensByDomain[aUpstreams[i]->Entry().failureDomain];
+    tokensByLayer.resize(static_cast<std::size_t>(aModel.layers));
     for (int layer = layers.first; layer < std::min(layers.last, aModel.layers);
          ++layer) {
-      room[static_cast<std::size_t>(layer)] += this->freeTokens[i];
+      tokensByLayer[static_cast<std::size_t>(layer)] += this->freeTokens[i];
     }
   }
   std::vector<std::pair<double, std::string>> ranked;
-  for (const auto& [domain, room] : roomByDomain) {
-    double cost = domain == aOwnDomain ? 0 : this->settings.awayCost;
-    for (const double tokens : room) {
+  for (const auto& [domain, tokensByLayer] : tokensByDomain) {
+    double cost = domain == aOwnDomain ? 0 : this->settings.remoteDomainCost;
+    for (const double tokens : tokensByLayer) {
       cost += tokens > 0 ? this->settings.domainScarcityCost / tokens
                          : std::numeric_limits<double>::infinity();
     }
-    const double varied =
+    const double jitterFactor =
         1 + this->settings.domainJitter * (2 * aRandom.Unit() - 1);
     if (std::isfinite(cost)) {
-      ranked.emplace_back(cost * varied, domain);
+      ranked.emplace_back(cost * jitterFactor, domain);
     }
   }
   std::sort(ranked.begin(), ranked.end());
@@ -157,7 +159,7 @@
 
 std::optional<PoolChain> ChainChooser::Repair(
     const ModelShape& aModel, const std::vector<UpstreamPtr>& aUpstreams,
-    const PoolChain& aChain, const std::vector<UpstreamPtr>& aBlamed,
+    const PoolChain& aChain, const std::vector<UpstreamPtr>& aAtFault,
     double aTokens, Instant aNow, Random& aRandom) {
   const PoolHop& first = aChain.front();
   this->Prepare(
@@ -166,30 +168,30 @@
       aRandom);
   for (std::size_t i = 0; i < this->items.size(); ++i) {
     SearchItem& item = this->items[i];
-    const auto kept = std::find_if(
+    const auto member = std::find_if(
         aChain.begin(), aChain.end(),
         [&](const PoolHop& aHop) { return aHop.upstream == aUpstreams[i]; });
-    const bool isBlamed = std::find(aBlamed.begin(), aBlamed.end(),
-                                    aUpstreams[i]) != aBlamed.end();
-    if (kept == aChain.end()) {
-      item.usable = item.usable && !isBlamed;
+    const bool isAtFault = std::find(aAtFault.begin(), aAtFault.end(),
+                                     aUpstreams[i]) != aAtFault.end();
+    if (member == aChain.end()) {
+      item.usable = item.usable && !isAtFault;
       continue;
     }
     const UpstreamEntry& entry = aUpstreams[i]->Entry();
-    item.usable = kept != aChain.begin() && !isBlamed &&
+    item.usable = member != aChain.begin() && !isAtFault &&
                   entry.state == Availability::Ready &&
                   !aUpstreams[i]->IsSuspect(aNow) &&
-                  entry.layers.Covers(kept->layers);
-    // One that stays costs nothing: its cache of the request stays too.
-    item.layers = kept->layers;
+                  entry.layers.Covers(member->layers);
+    // A retained member is free: it still has the request's cache.
+    item.layers = member->layers;
     item.layerCost = 0;
     item.fixedCost = 0;
   }
-  const LayerRange rest{first.layers.last, aModel.layers};
+  const LayerRange remainingLayers{first.layers.last, aModel.layers};
   PoolChain chain{first};
-  if (rest.Size() > 0) {
-    auto found =
-        this->FindIn(aUpstreams, first.upstream->Entry().failureDomain, rest);
+  if (remainingLayers.Size() > 0) {
+    auto found = this->FindInDomain(
+        aUpstreams, first.upstream->Entry().failureDomain, remainingLayers);
     if (!found) {
       return std::nullopt;
     }
--- a/Zincstep/Pool/ChainChooser.h
+++ b/Zincstep/Pool/ChainChooser.h
@@ -9,88 +9,91 @@
 
 namespace zincstep {
 
-/// One part of a chain: the upstream and the layers it runs.
+/// One stage of a chain: an upstream and the layers it runs.
 struct PoolHop {
   UpstreamPtr upstream;
   LayerRange layers;
 };
 
-/// Upstreams that run every layer once and in order.
+/// Upstreams that together run every layer once and in order.
 using PoolChain = std::vector<PoolHop>;
 
-/// Settings of the choice of chains.
+/// Settings of the chain selection.
 struct ChainChooserSettings {
-  /// Share of an upstream's memory for requests that may be promised; the
-  /// rest absorbs answers longer than guessed and work not heard of yet.
+  /// Share of an upstream's request memory that may be allocated; the rest
+  /// absorbs answers longer than estimated and work of other daemons that was
+  /// not reported yet.
   double memoryLimit = 0.92;
-  /// Cost of each hop, in milliseconds a token: 0.6 for the wait for the
-  /// upstream's pass and the way between two VMs, the rest as each member more
-  /// is one more whose loss or slowness the stream meets. Chains have 7.5
-  /// members where they had 13, and two losses of a tenth of the upstreams
-  /// interrupt 22 in 100 streams of eight seconds, not 34 (replay of 216
-  /// upstreams and 295 daemons).
+  /// Cost of each hop, in milliseconds per token: 0.6 for the wait for the
+  /// upstream's pass and the network hop between two VMs; the remainder because
+  /// the loss or slowness of each additional member affects the stream. At this
+  /// value chains have 7.5 members instead of 13, and two losses of a tenth of
+  /// the upstreams interrupt 22 instead of 34 in 100 streams of eight seconds
+  /// (replay of 216 upstreams and 295 daemons).
   double hopCost = 3;
-  /// Cost of a layer whose holder has memory for one token left; the cost falls
-  /// with each token more, and is drawn at random around that. The quickest
-  /// holders are to be preferred while they have room for some twenty requests
-  /// and passed by when they have none, as others choose them too on a view
-  /// that lags. With 4,000, and 1.5 for a hop, 5 in 100 streams of a threefold
-  /// burst were refused; with 60,000, and 0.6, chains have 13 members (same
-  /// replay, one seed and three).
+  /// Cost of a layer whose upstream has memory for one token left. The cost is
+  /// inversely proportional to the free tokens and drawn at random around that
+  /// mean. The fastest upstreams should be preferred while they have room for
+  /// about twenty requests and avoided when they have none, because other
+  /// daemons select them too, on a delayed view. At 4,000 (with 1.5 per hop) 5
+  /// in 100 streams of a threefold burst were refused; at 60,000 (with 0.6)
+  /// chains have 13 members (same replay, one seed and three).
   double scarcityCost = 15'000;
-  /// The same for streams that go on elsewhere. Those that a loss meets choose
-  /// at one instant: with the costs above they crowded the next quickest
-  /// members, and 63 of 264 paused for over 0.3 s where none had (one loss of
-  /// nine upstreams, from the daemons' logs).
+  /// The same for streams that are repaired. All streams that a loss affects
+  /// choose at the same instant: with the costs above they crowded onto the
+  /// next fastest members, and 63 of 264 paused for over 0.3 s where none had
+  /// (one loss of nine upstreams, from the daemons' logs).
   double repairScarcityCost = 60'000;
   double repairHopCost = 0.6;
-  /// The cost of a layer of a whole failure domain, by the memory of all its
-  /// holders.
+  /// Cost of a layer of a whole failure domain, by the free memory of all
+  /// upstreams that hold it.
   double domainScarcityCost = 60'000;
-  /// Cost of a chain that lies in another failure domain: that of an idle
-  /// domain's scarcity once more, so that work leaves a domain that is more
-  /// than half full for one that is idle.
-  double awayCost = 40;
-  /// Share by which a domain's cost is varied.
+  /// Cost of a chain in another failure domain: equal to the scarcity cost of
+  /// an idle domain, so that work moves from a domain that is more than half
+  /// full to an idle one.
+  double remoteDomainCost = 40;
+  /// Relative random variation of a domain's cost.
   double domainJitter = 0.1;
 };
 
-/// Chooses the chain of a request through a pool.
+/// Selects the chain of upstreams for a request.
 ///
-/// A shortest path over layer boundaries (`LayeredSearch`). An upstream's
-/// cost is drawn from an exponential distribution with a mean that falls
-/// with its free memory: of several holders each is the cheapest with a
-/// probability in proportion to what it has free. So many daemons with the
-/// same lagging view spread over the holders, where the cheapest alone
-/// would be flooded between two reports. A chain lies inside
-/// one failure domain, since a prompt's activations fill the pipe between
-/// two of them; it need not be the domain of the caller.
+/// A shortest path over layer boundaries (`LayeredSearch`). An upstream's cost
+/// is drawn from an exponential distribution whose mean falls with its free
+/// memory: of several upstreams with the same layers, each is the cheapest with
+/// a probability proportional to its free memory. Many daemons with the same
+/// delayed view thus spread over the upstreams, where the cheapest one alone
+/// would be overloaded between two reports. A chain stays inside one failure
+/// domain, since the activations of a prompt saturate the link between two of
+/// them; it need not be the domain of the caller.
 class ChainChooser {
  public:
   explicit ChainChooser(ChainChooserSettings aSettings) : settings(aSettings) {}
 
-  /// A chain for a request of `aTokens` tokens in and out, if there is one.
+  /// Returns a chain for a request of `aTokens` tokens, prompt and answer
+  /// together, or none.
   std::optional<PoolChain> Choose(const ModelShape& aModel,
                                   const std::vector<UpstreamPtr>& aUpstreams,
                                   const std::string& aOwnDomain, double aTokens,
                                   Instant aNow, Random& aRandom);
 
-  /// A chain that keeps the first hop of `aChain` and whatever else of it
-  /// stays and is not among `aBlamed`; none where its domain cannot cover the
-  /// rest. An upstream refuses a chain with a member that leaves, also where
-  /// that runs the request already.
+  /// Returns a chain that keeps the first hop of `aChain` and all other members
+  /// that remain and are not among `aAtFault`; none if the upstreams of its
+  /// domain cannot cover the remaining layers. A member that is leaving is
+  /// replaced even if it runs the request already, since upstreams reject a
+  /// chain that names it.
   std::optional<PoolChain> Repair(const ModelShape& aModel,
                                   const std::vector<UpstreamPtr>& aUpstreams,
                                   const PoolChain& aChain,
-                                  const std::vector<UpstreamPtr>& aBlamed,
+                                  const std::vector<UpstreamPtr>& aAtFault,
                                   double aTokens, Instant aNow,
                                   Random& aRandom);
 
-  /// Tokens x layers that an upstream can hold for requests.
+  /// Memory of an upstream for requests, in tokens x layers.
   static double Capacity(const ModelShape& aModel, const UpstreamEntry& aEntry);
 
  private:
-  /// What a choice weighs beside the time of the steps; see the settings.
+  /// Costs in addition to the step time; see the settings.
   struct Weights {
     double hopCost = 0;
     double scarcityCost = 0;
@@ -99,22 +102,24 @@
   void Prepare(const ModelShape& aModel,
                const std::vector<UpstreamPtr>& aUpstreams, double aTokens,
                Instant aNow, Weights aWeights, Random& aRandom);
-  /// The domains that hold all layers with room, the best one first.
+  /// Domains that hold all layers and have free memory for each, by ascending
+  /// cost.
   std::vector<std::string> RankDomains(
       const ModelShape& aModel, const std::vector<UpstreamPtr>& aUpstreams,
       const std::string& aOwnDomain, Random& aRandom) const;
-  /// The cheapest chain inside `aDomain` of the prepared items.
-  std::optional<PoolChain> FindIn(const std::vector<UpstreamPtr>& aUpstreams,
-                                  const std::string& aDomain,
-                                  LayerRange aRange);
+  /// Returns the cheapest chain inside `aDomain` from the prepared items, or
+  /// none.
+  std::optional<PoolChain> FindInDomain(
+      const std::vector<UpstreamPtr>& aUpstreams, const std::string& aDomain,
+      LayerRange aRange);
 
   ChainChooserSettings settings;
   LayeredSearch search;
-  /// One for each upstream, whatever its domain, and the tokens that it has
-  /// room for beside the request.
+  /// One item per upstream of all domains, and the tokens that fit in addition
+  /// to the request.
   std::vector<SearchItem> items;
   std::vector<double> freeTokens;
-  /// Those of one domain, and which upstream each one is.
+  /// Items of one domain, and the upstream index of each.
   std::vector<SearchItem> domainItems;
   std::vector<std::size_t> domainUpstreams;
 };
--- a/Zincstep/Pool/CountedControl.cpp
+++ b/Zincstep/Pool/CountedControl.cpp
@@ -11,7 +11,7 @@
 void CountedControl::ProbeConnection(const UpstreamEntry& aUpstream,
                                      Micros aTimeout,
                                      std::function<void(Reachability)> aDone) {
-  // No request is sent.
+  // Not counted: no request is sent.
   this->control.ProbeConnection(aUpstream, aTimeout, std::move(aDone));
 }
 
@@ -24,10 +24,11 @@
       [this, number, sentAt = this->clock.Now(),
        done = std::move(aDone)](const Result<UpstreamReport>& aReport) {
         const UpstreamPtr upstream = this->directory.FindNumber(number);
-        // Whether reports tell of limits is not sure: only those that do count.
-        const bool hasNews = aReport && (aReport->notice.callsPerSecond ||
-                                         aReport->notice.isLeaving);
-        if (hasNews && upstream) {
+        // Reports need not carry limits, so one without a limit does not end
+        // it.
+        const bool hasNotice = aReport && (aReport->notice.callsPerSecond ||
+                                           aReport->notice.isLeaving);
+        if (hasNotice && upstream) {
           this->limits.OnNotice(upstream, aReport->notice, sentAt);
         }
         done(aReport);
--- a/Zincstep/Pool/CountedControl.h
+++ b/Zincstep/Pool/CountedControl.h
@@ -6,8 +6,8 @@
 
 namespace zincstep {
 
-/// Counts this daemon's reports and orders, and takes what the answers say of
-/// limits.
+/// Counts the reports and orders that this daemon sends to upstreams, and
+/// passes the limits in their responses to `CallLimits`.
 class CountedControl final : public UpstreamControl {
  public:
   CountedControl(UpstreamControl& aControl, const UpstreamDirectory& aDirectory,
--- a/Zincstep/Pool/DemandMeter.cpp
+++ b/Zincstep/Pool/DemandMeter.cpp
@@ -7,24 +7,26 @@
 
 namespace {
 
-/// Time over which arrivals are averaged, in seconds: longer than an answer
-/// takes, shorter than the waves of the traffic.
+/// Averaging time of arrivals, in seconds: longer than a response takes,
+/// shorter than the waves of the traffic.
 constexpr double kAverageSeconds = 4;
-/// Time and answers until an estimate is given: those that end first are short.
+/// Time and responses before the first estimate: the responses that complete
+/// first are the short ones.
 constexpr Micros kWarmUp = 6s;
-constexpr int kFewestAnswers = 30;
-/// Share of the newest answer in the average time of one.
-constexpr double kAnswerShare = 0.05;
-/// Time in which a peak falls by half, in seconds: the waves of the users'
-/// traffic are shorter.
+constexpr int kMinResponses = 30;
+/// Weight of the newest response in the average response time.
+constexpr double kResponseWeight = 0.05;
+/// Half-life of the peak, in seconds: longer than the waves of the users'
+/// traffic.
 constexpr double kPeakHalfLife = 20;
-/// What a daemon told counts for so long: three tellings.
-constexpr Micros kToldLife = 3s;
-/// All daemons have told within this time.
-constexpr Micros kAllTold = 2s;
+/// Maximum age of a daemon's report: three report intervals.
+constexpr Micros kReportMaxAge = 3s;
+/// Time within which every daemon has sent a report.
+constexpr Micros kCollectionPeriod = 2s;
 
-/// What is left of a quantity that falls by half in each `aHalfLife`.
-double Left(Micros aSpan, double aHalfLife) {
+/// Factor that remains of a quantity with the half-life `aHalfLife`, in
+/// seconds, after `aSpan`.
+double DecayFactor(Micros aSpan, double aHalfLife) {
   return std::exp2(-ToSeconds(aSpan) / aHalfLife);
 }
 
@@ -34,29 +36,33 @@
   if (!this->firstAt) {
     this->firstAt = aNow;
   }
-  const double passed = ToSeconds(aNow - this->recentAt);
-  this->recent = this->recent * std::exp(-passed / kAverageSeconds) + aTokens;
-  this->recentAt = aNow;
+  const double elapsed = ToSeconds(aNow - this->decayedAt);
+  this->decayedTokens =
+      this->decayedTokens * std::exp(-elapsed / kAverageSeconds) + aTokens;
+  this->decayedAt = aNow;
 }
 
-void DemandMeter::OnCompleted(Micros aTaken) {
-  this->answers += 1;
-  const double share = std::max(kAnswerShare, 1.0 / this->answers);
-  this->responseSeconds += share * (ToSeconds(aTaken) - this->responseSeconds);
+void DemandMeter::OnCompleted(Micros aResponseTime) {
+  this->responses += 1;
+  const double responseWeight =
+      std::max(kResponseWeight, 1.0 / this->responses);
+  this->responseSeconds +=
+      responseWeight * (ToSeconds(aResponseTime) - this->responseSeconds);
 }
 
 std::optional<double> DemandMeter::Tokens(Instant aNow) const {
   if (!this->firstAt || aNow - *this->firstAt < kWarmUp ||
-      this->answers < kFewestAnswers) {
+      this->responses < kMinResponses) {
     return std::nullopt;
   }
-  const double passed = ToSeconds(aNow - this->recentAt);
-  const double seen = ToSeconds(aNow - *this->firstAt);
-  const double recent = this->recent * std::exp(-passed / kAverageSeconds);
-  // The average reaches back beyond the first request.
+  const double elapsed = ToSeconds(aNow - this->decayedAt);
+  const double observed = ToSeconds(aNow - *this->firstAt);
+  const double decayedTokens =
+      this->decayedTokens * std::exp(-elapsed / kAverageSeconds);
+  // The averaging time may start before the first request.
   const double weight =
-      kAverageSeconds * (1 - std::exp(-seen / kAverageSeconds));
-  return recent / weight * this->responseSeconds;
+      kAverageSeconds * (1 - std::exp(-observed / kAverageSeconds));
+  return decayedTokens / weight * this->responseSeconds;
 }
 
 void DemandSum::Update(const std::string& aDaemon, double aTokens,
@@ -69,19 +75,20 @@
 
 std::optional<ObservedDemand> DemandSum::Peak(Instant aNow) {
   std::erase_if(this->byDaemon, [aNow](const auto& aEntry) {
-    return aNow - aEntry.second.at > kToldLife;
+    return aNow - aEntry.second.at > kReportMaxAge;
   });
-  if (!this->firstAt || aNow - *this->firstAt < kAllTold) {
+  if (!this->firstAt || aNow - *this->firstAt < kCollectionPeriod) {
     return std::nullopt;
   }
   double sum = 0;
-  for (const auto& [daemon, told] : this->byDaemon) {
-    sum += told.tokens;
+  for (const auto& [daemon, report] : this->byDaemon) {
+    sum += report.tokens;
   }
-  this->peak =
-      std::max(sum, this->peak * Left(aNow - this->peakAt, kPeakHalfLife));
+  this->peak = std::max(
+      sum, this->peak * DecayFactor(aNow - this->peakAt, kPeakHalfLife));
   this->peakAt = aNow;
-  return ObservedDemand{this->peak, Left(aNow - *this->firstAt, kPeakHalfLife)};
+  return ObservedDemand{this->peak,
+                        DecayFactor(aNow - *this->firstAt, kPeakHalfLife)};
 }
 
 }  // namespace zincstep
--- a/Zincstep/Pool/DemandMeter.h
+++ b/Zincstep/Pool/DemandMeter.h
@@ -11,45 +11,47 @@
 
 /// Estimates how much memory the requests of a daemon's callers need.
 ///
-/// By Little's law the tokens in flight, if all were served, are the tokens
-/// that arrive a second times the seconds that an answer takes. What is in
-/// flight itself would tell too little where requests are refused for want of
-/// memory, and too much where answers stand still.
+/// By Little's law the tokens in flight, if all requests were served, are the
+/// tokens that arrive per second times the response time in seconds. The tokens
+/// actually in flight would be too low while requests are refused for lack of
+/// memory, and too high while answers are stalled.
 class DemandMeter {
  public:
-  /// A request of that many tokens has come, whatever becomes of it.
+  /// Records the arrival of a request, whether it is served or not.
   void OnRequest(double aTokens, Instant aNow);
-  /// A request was answered whole within `aTaken`.
-  void OnCompleted(Micros aTaken);
-  /// The estimate; none until requests have come and been answered for a while.
+  /// Records a request that completed successfully within `aResponseTime`.
+  void OnCompleted(Micros aResponseTime);
+  /// Returns the estimate, in tokens in flight; none until requests have
+  /// arrived and completed for some time.
   std::optional<double> Tokens(Instant aNow) const;
 
  private:
   std::optional<Instant> firstAt;
-  /// Tokens that have come, each counted less the longer ago it was.
-  double recent = 0;
-  Instant recentAt{};
-  /// Average time of an answer, in seconds.
+  /// Tokens that arrived, with exponential decay by their age.
+  double decayedTokens = 0;
+  Instant decayedAt{};
+  /// Average response time, in seconds.
   double responseSeconds = 0;
-  int answers = 0;
+  int responses = 0;
 };
 
-/// The demand of all daemons together, as they tell it, with a peak that
-/// decays: memory must be there for the peaks of the traffic.
+/// Sums the reported demand of all daemons and keeps a decaying peak, because
+/// the memory has to cover the peaks of the traffic.
 class DemandSum {
  public:
-  /// What a daemon's own meter says.
+  /// Records a daemon's own estimate, in tokens.
   void Update(const std::string& aDaemon, double aTokens, Instant aNow);
-  /// The sum's peak; none until daemons have told for a while, so that a daemon
-  /// that takes the placement duty does not plan for a part of the traffic.
+  /// Returns the peak of the sum; none until reports were collected for some
+  /// time, so that a daemon that has just become leader of the placement does
+  /// not plan for a part of the traffic.
   std::optional<ObservedDemand> Peak(Instant aNow);
 
  private:
-  struct Told {
+  struct Report {
     double tokens = 0;
     Instant at;
   };
-  std::map<std::string, Told> byDaemon;
+  std::map<std::string, Report> byDaemon;
   std::optional<Instant> firstAt;
   double peak = 0;
   Instant peakAt{};
--- a/Zincstep/Pool/DomainLayout.cpp
+++ b/Zincstep/Pool/DomainLayout.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-/// Share of a first upstream's slots that is used: others' requests that were
-/// not heard of yet come on top, and one beyond the slots waits until another
-/// has ended.
-constexpr double kSlotsUsed = 0.75;
+/// Usable share of the slots of a first upstream: requests of other daemons
+/// that were not reported yet come in addition, and a request beyond the slots
+/// waits until another one ends.
+constexpr double kUsableSlotShare = 0.75;
 
-/// To the eighth power: the smallest of many then decides, yet raising any of
-/// the scarce ones shows.
+/// The eighth power emphasises the scarcest layers, yet an improvement of any
+/// scarce layer still shows in the score.
 double ScarcityPower(double aValue) {
   const double square = aValue * aValue;
   const double fourth = square * square;
@@ -26,18 +26,18 @@
   return std::sqrt(std::sqrt(std::sqrt(aValue)));
 }
 
-/// Share of the demand that is served with so much memory for each token of
-/// it. Requests vary and spread unevenly: with memory for just the demand some
-/// 16 in 100 find none, with 1.5 times the demand 4.
-double ServedAt(double aRatio) {
+/// Share of the demand that is served, by the ratio of memory to demand.
+/// Requests vary in size and spread unevenly: with memory for exactly the
+/// demand about 16 in 100 find none, with 1.5 times the demand 4.
+double ServedShareAt(double aRatio) {
   const double square = aRatio * aRatio;
   return aRatio / std::sqrt(std::sqrt(1 + square * square));
 }
 
 }  // namespace
 
-int LayersBeside(const ModelShape& aModel, const PoolKind& aKind,
-                 double aTokens) {
+int MaxLayersBeside(const ModelShape& aModel, const PoolKind& aKind,
+                    double aTokens) {
   const double tokenLayerMb = aModel.tokenMb / aModel.layers;
   return std::min(aModel.layers,
                   static_cast<int>(aKind.memoryMb /
@@ -55,17 +55,18 @@
     return std::max(0.0, memory);
   }
   const double usual = aModel.usualPrompt + aModel.usualAnswer;
-  return std::max(
-      0.0, std::min(memory, kSlotsUsed * aSlots * usual * aLayers.Size()));
+  return std::max(0.0, std::min(memory, kUsableSlotShare * aSlots * usual *
+                                            aLayers.Size()));
 }
 
 DomainLayout::DomainLayout(const ModelShape& aModel,
                            const LayoutScoreSettings& aSettings, double aDemand,
-                           std::vector<PlacedUpstream> aUpstreams, int aTimes)
+                           std::vector<PlacedUpstream> aUpstreams,
+                           int aMultiplicity)
     : model(aModel),
       settings(aSettings),
       demand(std::max(1.0, aDemand)),
-      times(aTimes),
+      multiplicity(aMultiplicity),
       upstreams(std::move(aUpstreams)),
       classOf(this->upstreams.size()) {
   const auto layers = static_cast<std::size_t>(this->model.layers);
@@ -80,51 +81,53 @@
 DomainLayout::HolderClass DomainLayout::MakeClass(std::size_t aIndex,
                                                   LayerRange aLayers) const {
   const PlacedUpstream& upstream = this->upstreams[aIndex];
-  HolderClass made;
-  made.layers = aLayers;
-  made.key = {this->kinds[aIndex], aLayers.first, aLayers.last, upstream.slots};
-  if (made.key.kind != nullptr && aLayers.Size() > 0) {
-    made.beside =
-        RequestMemory(this->model, *made.key.kind, aLayers, upstream.slots) /
+  HolderClass result;
+  result.layers = aLayers;
+  result.key = {this->kinds[aIndex], aLayers.first, aLayers.last,
+                upstream.slots};
+  if (result.key.kind != nullptr && aLayers.Size() > 0) {
+    result.tokensPerLayer =
+        RequestMemory(this->model, *result.key.kind, aLayers, upstream.slots) /
         aLayers.Size();
   }
-  return made;
+  return result;
 }
 
 void DomainLayout::Add(const HolderClass& aClass, int aSign) {
   const int last = std::min(aClass.layers.last, this->model.layers);
-  const int count = aSign * this->times;
+  const int count = aSign * this->multiplicity;
   for (int layer = aClass.layers.first; layer < last; ++layer) {
     this->holders[static_cast<std::size_t>(layer)] += count;
-    this->tokens[static_cast<std::size_t>(layer)] += count * aClass.beside;
+    this->tokens[static_cast<std::size_t>(layer)] +=
+        count * aClass.tokensPerLayer;
   }
 }
 
 void DomainLayout::Join(std::size_t aIndex, LayerRange aLayers) {
-  HolderClass wanted = this->MakeClass(aIndex, aLayers);
-  const auto [place, isNew] = this->classByKey.try_emplace(wanted.key, 0);
+  HolderClass target = this->MakeClass(aIndex, aLayers);
+  const auto [entry, isNew] = this->classByKey.try_emplace(target.key, 0);
   if (isNew && this->unusedClasses.empty()) {
-    place->second = this->classes.size();
-    this->classes.push_back(wanted);
+    entry->second = this->classes.size();
+    this->classes.push_back(target);
   } else if (isNew) {
-    place->second = this->unusedClasses.back();
+    entry->second = this->unusedClasses.back();
     this->unusedClasses.pop_back();
-    this->classes[place->second] = wanted;
+    this->classes[entry->second] = target;
   }
-  HolderClass& joined = this->classes[place->second];
+  HolderClass& joined = this->classes[entry->second];
   joined.count += 1;
-  this->classOf[aIndex] = place->second;
+  this->classOf[aIndex] = entry->second;
   this->upstreams[aIndex].layers = aLayers;
   this->Add(joined, 1);
 }
 
 void DomainLayout::Leave(std::size_t aIndex) {
   const std::size_t number = this->classOf[aIndex];
-  HolderClass& left = this->classes[number];
-  this->Add(left, -1);
-  left.count -= 1;
-  if (left.count == 0) {
-    this->classByKey.erase(left.key);
+  HolderClass& previous = this->classes[number];
+  this->Add(previous, -1);
+  previous.count -= 1;
+  if (previous.count == 0) {
+    this->classByKey.erase(previous.key);
     this->unusedClasses.push_back(number);
   }
 }
@@ -134,74 +137,77 @@
   this->Join(aIndex, aLayers);
 }
 
-double DomainLayout::Served(double aTokens) const {
-  const double own = ServedAt(aTokens / this->demand);
-  const double away =
-      ServedAt(aTokens / (this->demand * this->settings.otherLostDemand));
-  return own + this->settings.otherLostShare * (away - own);
+double DomainLayout::ServedShare(double aTokens) const {
+  const double normal = ServedShareAt(aTokens / this->demand);
+  const double domainLost = ServedShareAt(
+      aTokens / (this->demand * this->settings.domainLossDemandFactor));
+  return normal + this->settings.domainLossWeight * (domainLost - normal);
 }
 
-double DomainLayout::LossCost(const HolderClass& aClass, double aLeast,
+double DomainLayout::LossCost(const HolderClass& aClass, double aMinTokens,
                               double aServed) const {
   const LayerRange layers = aClass.layers;
-  const double own = aClass.beside;
+  const double ownTokens = aClass.tokensPerLayer;
   double share = 0;
-  double rest = aLeast;
+  double remaining = aMinTokens;
   bool leavesGap = false;
   for (int layer = layers.first; layer < layers.last; ++layer) {
-    const double held = this->tokens[static_cast<std::size_t>(layer)];
-    share += held > 0 ? own / held : 0;
-    rest = std::min(rest, held - own);
+    const double total = this->tokens[static_cast<std::size_t>(layer)];
+    share += total > 0 ? ownTokens / total : 0;
+    remaining = std::min(remaining, total - ownTokens);
     leavesGap = leavesGap || this->HoldersOf(layer) < 2;
   }
   share /= layers.Size();
-  const double served = leavesGap ? 0 : this->Served(std::max(0.0, rest));
-  const double restored =
+  const double served =
+      leavesGap ? 0 : this->ServedShare(std::max(0.0, remaining));
+  const double restoreSeconds =
       this->settings.detectSeconds +
       ToSeconds(this->model.loadTime) * layers.Size() / this->model.layers;
-  const double broken =
+  const double interruptionSeconds =
       leavesGap ? this->settings.lostSeconds : this->settings.repairedSeconds;
-  return restored * std::max(0.0, aServed - served) + broken * share;
+  return restoreSeconds * std::max(0.0, aServed - served) +
+         interruptionSeconds * share;
 }
 
-LayoutScore DomainLayout::ScoreBeside(const HolderClass* aExtra) const {
+LayoutScore DomainLayout::ScoreIncluding(const HolderClass* aExtra) const {
   LayoutScore score;
   double scarcity = 0;
-  double least = std::numeric_limits<double>::max();
+  double minTokens = std::numeric_limits<double>::max();
   for (std::size_t layer = 0; layer < this->tokens.size(); ++layer) {
     score.gaps += this->holders[layer] == 0 ? 1 : 0;
-    least = std::min(least, this->tokens[layer]);
+    minTokens = std::min(minTokens, this->tokens[layer]);
     scarcity +=
         ScarcityPower(this->demand / std::max(1.0, this->tokens[layer]));
   }
   const auto layers = static_cast<double>(this->tokens.size());
-  const double rated = this->demand / ScarcityRoot(scarcity / layers);
-  const double served = this->Served(std::max(0.0, least));
+  const double ratedTokens = this->demand / ScarcityRoot(scarcity / layers);
+  const double served = this->ServedShare(std::max(0.0, minTokens));
   double lossCost = 0;
   for (const HolderClass& one : this->classes) {
     if (one.count > 0 && one.layers.Size() > 0) {
-      lossCost += one.count * this->LossCost(one, least, served);
+      lossCost += one.count * this->LossCost(one, minTokens, served);
     }
   }
   if (aExtra != nullptr && aExtra->layers.Size() > 0) {
-    lossCost += this->LossCost(*aExtra, least, served);
+    lossCost += this->LossCost(*aExtra, minTokens, served);
   }
-  lossCost *= this->times;
+  lossCost *= this->multiplicity;
   this->steps += this->tokens.size() + this->classes.size();
-  score.value = this->Served(rated) - this->settings.lossRate * lossCost;
+  score.value =
+      this->ServedShare(ratedTokens) - this->settings.lossRate * lossCost;
   return score;
 }
 
 LayoutScore DomainLayout::ScoreWith(std::size_t aIndex, LayerRange aLayers) {
-  HolderClass& own = this->classes[this->classOf[aIndex]];
+  HolderClass& present = this->classes[this->classOf[aIndex]];
   const HolderClass changed = this->MakeClass(aIndex, aLayers);
-  this->Add(own, -1);
-  own.count -= 1;
+  this->Add(present, -1);
+  present.count -= 1;
   this->Add(changed, 1);
-  const LayoutScore score = this->ScoreBeside(&changed);
+  const LayoutScore score = this->ScoreIncluding(&changed);
   this->Add(changed, -1);
-  own.count += 1;
-  this->Add(own, 1);
+  present.count += 1;
+  this->Add(present, 1);
   return score;
 }
 
@@ -225,8 +231,9 @@
 
 int DomainLayout::MaxLayers(std::size_t aIndex) const {
   const PoolKind* kind = this->kinds[aIndex];
-  return kind == nullptr ? 0
-                         : LayersBeside(this->model, *kind, kMinReservedTokens);
+  return kind == nullptr
+             ? 0
+             : MaxLayersBeside(this->model, *kind, kMinReservedTokens);
 }
 
 }  // namespace zincstep
--- a/Zincstep/Pool/DomainLayout.h
+++ b/Zincstep/Pool/DomainLayout.h
@@ -9,37 +9,38 @@
 
 namespace zincstep {
 
-/// The least memory that an upstream keeps for requests, in tokens: some
-/// twenty of the usual ones, as a guard against starving a whole domain.
+/// Minimum memory that an upstream reserves for requests, in tokens: about
+/// twenty usual requests, so that a whole domain is not starved.
 inline constexpr double kMinReservedTokens = 20'000;
 
-/// Settings of what a layout is worth.
+/// Settings of the score of a layout.
 struct LayoutScoreSettings {
-  /// Losses of an upstream a second. One in two minutes is far above what a
-  /// real pool sees: it also stands for what the share of served requests
-  /// leaves out, that a domain without a layer serves nobody at all (trials of
-  /// docs/results/decisions.md).
+  /// Losses of an upstream per second. One in two minutes is far above the rate
+  /// of a real pool: it also covers an effect that the share of served requests
+  /// leaves out, namely that a domain with an unheld layer serves no request at
+  /// all (trials of docs/results/decisions.md).
   double lossRate = 1.0 / 120;
-  /// Time until a lost upstream is known to be lost and its layers are ordered
-  /// elsewhere, in seconds; loading comes on top.
+  /// Time until a lost upstream is detected and its layers are ordered
+  /// elsewhere, in seconds; the load time comes in addition.
   double detectSeconds = 1;
-  /// What a request costs whose upstream is lost, in seconds of the traffic
-  /// that runs through that upstream: with another holder of its layers it goes
-  /// on late, else it is read anew in another domain or breaks off.
+  /// Cost of losing the upstream of a request, in seconds of the traffic that
+  /// runs through that upstream: with another upstream that holds the layers
+  /// the request resumes late (`repairedSeconds`), else its prompt is processed
+  /// again in another domain or the request fails (`lostSeconds`).
   double repairedSeconds = 0.7;
   double lostSeconds = 2;
-  /// Demand while another failure domain is lost and its callers come here, as
-  /// a factor, and the share of the weight that such times get. With three
-  /// domains the factor is 1.5.
-  double otherLostDemand = 1.5;
-  double otherLostShare = 0.3;
+  /// Factor on the demand while another failure domain is lost and its callers
+  /// use this one (1.5 with three domains), and the weight of such periods in
+  /// the score.
+  double domainLossDemandFactor = 1.5;
+  double domainLossWeight = 0.3;
 };
 
-/// How good a layout is: the fewest gaps first, then the highest worth.
+/// Score of a layout: fewer gaps win, then the higher value.
 struct LayoutScore {
-  /// Layers that nobody holds.
+  /// Layers that no upstream holds.
   int gaps = 0;
-  /// Share of the demand that is served in the mean, losses included.
+  /// Mean share of the demand that is served, including the effect of losses.
   double value = 0;
 
   bool IsBetterThan(const LayoutScore& aOther) const {
@@ -48,35 +49,34 @@
   }
 };
 
-/// What the upstreams of one failure domain hold, and what that is worth
-/// against a demand.
+/// Layer ranges of the upstreams of one failure domain, and their score for a
+/// given demand.
 ///
-/// Memory that layers leave free holds requests, and the layer with the least
-/// of it bounds the domain; so a second holder of a layer is bought with memory
-/// for requests. Both are weighed in one unit: the share of the demand that is
-/// served, now and after the loss of any one upstream.
+/// Requests use the memory that layers leave free, and the layer with the least
+/// free memory bounds the domain; so each additional holder of a layer costs
+/// memory for requests. Both are measured in one unit: the share of the demand
+/// that is served, now and after the loss of any single upstream.
 ///
 /// Upstreams of one kind that hold the same layers are interchangeable. They
-/// are kept as one class with a count, so that a score takes as long as there
-/// are classes, some dozens, and not as there are upstreams.
+/// form one class with a count, so that the time for a score depends on the
+/// number of classes, a few dozen, and not on the number of upstreams.
 class DomainLayout {
  public:
-  /// `aDemand` is in tokens of requests in flight. Each upstream stands for
-  /// `aTimes` equal ones, so that a large domain can be weighed by a part of
-  /// it.
+  /// `aDemand` is in tokens of requests in flight. Each upstream represents
+  /// `aMultiplicity` equal ones, so that a part can stand for a large domain.
   DomainLayout(const ModelShape& aModel, const LayoutScoreSettings& aSettings,
                double aDemand, std::vector<PlacedUpstream> aUpstreams,
-               int aTimes = 1);
+               int aMultiplicity = 1);
 
   const std::vector<PlacedUpstream>& Upstreams() const {
     return this->upstreams;
   }
   std::size_t Count() const { return this->upstreams.size(); }
-  /// How many equal upstreams each one stands for.
-  int Times() const { return this->times; }
-  /// Tokens of requests in flight that are asked for.
+  /// Number of equal upstreams that each one represents.
+  int Multiplicity() const { return this->multiplicity; }
+  /// Demand, in tokens of requests in flight.
   double Demand() const { return this->demand; }
-  /// The kind of an upstream; null where the model has no such kind.
+  /// The kind of an upstream; null if the model has no such kind.
   const PoolKind* KindOf(std::size_t aIndex) const {
     return this->kinds[aIndex];
   }
@@ -88,34 +88,38 @@
   int HoldersOf(int aLayer) const {
     return this->holders[static_cast<std::size_t>(aLayer)];
   }
-  /// Tokens of requests that the holders of each layer have memory for.
+  /// Request tokens for which the holders of each layer have memory.
   const std::vector<double>& Tokens() const { return this->tokens; }
-  /// Changes what an upstream holds.
+  /// Changes the layers that an upstream holds.
   void Set(std::size_t aIndex, LayerRange aLayers);
-  /// It has been given an order and takes no other.
+  /// Marks an upstream as ordered: it accepts no further order.
   void SetOrdered(std::size_t aIndex) {
     this->upstreams[aIndex].acceptsOrders = false;
   }
 
-  LayoutScore Score() const { return this->ScoreBeside(nullptr); }
-  /// The score with one upstream changed; the layout stays as it is.
+  LayoutScore Score() const { return this->ScoreIncluding(nullptr); }
+  /// Returns the score with one upstream changed; the layout itself is
+  /// unchanged.
   LayoutScore ScoreWith(std::size_t aIndex, LayerRange aLayers);
-  /// The class of an upstream; two of one class score alike.
+  /// The class of an upstream; upstreams of one class have the same effect on
+  /// the score.
   std::size_t ClassOf(std::size_t aIndex) const {
     return this->classOf[aIndex];
   }
-  /// Bound of what `ClassOf` gives.
+  /// Exclusive upper bound of `ClassOf`.
   std::size_t ClassBound() const { return this->classes.size(); }
-  /// Layers and classes that scores have looked at since the start: what
-  /// planning has cost, whatever the machine.
+  /// Layers and classes evaluated by scores so far: a machine-independent
+  /// measure of the planning cost.
   std::uint64_t Steps() const { return this->steps; }
-  /// First range without a holder from `aFrom` on, or an empty one.
+  /// First range of layers without a holder at or after `aFrom`, or an empty
+  /// one.
   LayerRange FirstGap(int aFrom) const;
-  /// Most layers that an upstream may hold: memory for few requests is left.
+  /// Maximum number of layers of an upstream, with `kMinReservedTokens`
+  /// reserved for requests.
   int MaxLayers(std::size_t aIndex) const;
 
  private:
-  /// What tells classes apart.
+  /// Properties that distinguish classes.
   struct ClassKey {
     const PoolKind* kind = nullptr;
     int first = 0;
@@ -127,37 +131,40 @@
              std::tie(aOther.kind, aOther.first, aOther.last, aOther.slots);
     }
   };
-  /// Upstreams that no score tells apart.
+  /// Interchangeable upstreams: same kind, slots and layers.
   struct HolderClass {
     ClassKey key;
     LayerRange layers;
-    /// What each of them adds to each of its layers, in tokens.
-    double beside = 0;
+    /// Request tokens that one upstream of the class adds to each of its
+    /// layers.
+    double tokensPerLayer = 0;
     int count = 0;
   };
 
   HolderClass MakeClass(std::size_t aIndex, LayerRange aLayers) const;
-  /// Puts an upstream into the class of its layers.
+  /// Assigns an upstream to the class of its layers.
   void Join(std::size_t aIndex, LayerRange aLayers);
   void Leave(std::size_t aIndex);
-  /// Adds an upstream of a class to its layers (`aSign` 1), or takes it away.
+  /// Adds an upstream of a class to the totals of its layers (`aSign` 1) or
+  /// subtracts it (-1).
   void Add(const HolderClass& aClass, int aSign);
-  /// The score with an upstream that stands in no class.
-  LayoutScore ScoreBeside(const HolderClass* aExtra) const;
-  /// Share of the demand that is served with memory for `aTokens`.
-  double Served(double aTokens) const;
-  /// What losses of one upstream of a class cost, in seconds of the domain's
+  /// Returns the score including `aExtra`, an upstream that belongs to no
+  /// class; null: none.
+  LayoutScore ScoreIncluding(const HolderClass* aExtra) const;
+  /// Returns the share of the demand that is served with memory for `aTokens`.
+  double ServedShare(double aTokens) const;
+  /// Cost of losing one upstream of a class, in seconds of the domain's
   /// traffic.
-  double LossCost(const HolderClass& aClass, double aLeast,
+  double LossCost(const HolderClass& aClass, double aMinTokens,
                   double aServed) const;
 
   const ModelShape& model;
   const LayoutScoreSettings& settings;
   double demand;
-  int times;
+  int multiplicity;
   std::vector<PlacedUpstream> upstreams;
   std::vector<const PoolKind*> kinds;
-  /// Classes; one that nobody is in any more has the count 0 and is used anew.
+  /// Classes; an empty one has the count 0 and is reused.
   std::vector<HolderClass> classes;
   std::vector<std::size_t> classOf;
   std::map<ClassKey, std::size_t> classByKey;
@@ -167,13 +174,14 @@
   mutable std::uint64_t steps = 0;
 };
 
-/// Layers that an upstream of that kind holds beside `aTokens` tokens.
-int LayersBeside(const ModelShape& aModel, const PoolKind& aKind,
-                 double aTokens);
+/// Returns how many layers an upstream of that kind can hold with memory for
+/// `aTokens` tokens left.
+int MaxLayersBeside(const ModelShape& aModel, const PoolKind& aKind,
+                    double aTokens);
 
-/// Tokens x layers that an upstream with that kind and range has for requests.
+/// Returns the memory for requests of an upstream, in tokens x layers.
 ///
-/// Chains begin at the first layer: there, slots bound the requests as well,
+/// Chains begin at the first layer: there the slots limit the requests as well,
 /// whatever their length.
 double RequestMemory(const ModelShape& aModel, const PoolKind& aKind,
                      LayerRange aLayers, int aSlots);
--- a/Zincstep/Pool/DomainParts.h
+++ b/Zincstep/Pool/DomainParts.h
@@ -7,17 +7,17 @@
 
 namespace zincstep {
 
-/// Upstreams of a domain that are laid out together: their indices, those of
-/// one kind behind one another.
+/// Indices of the upstreams of a domain that are planned together, grouped by
+/// kind.
 using DomainPart = std::vector<std::size_t>;
 
-/// Splits upstreams into parts of some `aPartSize` each with nearly the same
-/// kinds. Parts with the same kinds in the same order can be laid out alike.
+/// Splits upstreams into parts of about `aPartSize` each with nearly the same
+/// kinds. Parts with the same kinds in the same order can use the same layout.
 std::vector<DomainPart> SplitEvenly(const DomainLayout& aLayout,
                                     std::vector<std::size_t> aUpstreams,
                                     std::size_t aPartSize);
 
-/// Stands for the kinds of a part in their order.
+/// Identifies the kinds and slots of a part in their order.
 std::string CompositionOf(const DomainLayout& aLayout, const DomainPart& aPart);
 
 }  // namespace zincstep
--- a/Zincstep/Pool/DomainPlan.cpp
+++ b/Zincstep/Pool/DomainPlan.cpp
@@ -10,22 +10,22 @@
 
 namespace {
 
-/// Requests that run at a part that is given up end within some seconds.
-constexpr double kGivingUpSeconds = 3;
-/// An order that gives nothing up takes a report and the order itself.
-constexpr double kGrowingSeconds = 0.2;
-
-/// Up to so many empty upstreams of a domain are laid out as a whole: the time
-/// for that grows with more than their square.
-constexpr std::size_t kMostAsWhole = 80;
-/// Sizes of the parts in which more are laid out: a copy of the model takes
-/// some five to twelve upstreams.
+/// Time for the requests on released layers to end.
+constexpr double kReleaseSeconds = 3;
+/// An order that releases nothing only requires a report and the order.
+constexpr double kGrowSeconds = 0.2;
+
+/// Maximum number of empty upstreams that are planned unsplit: the time grows
+/// faster than the square of their number.
+constexpr std::size_t kMaxUnsplit = 80;
+/// Part sizes that are tried beyond that; one copy of the model takes five to
+/// twelve upstreams.
 constexpr std::size_t kPartSizes[] = {12, 16, 24, 36};
-/// Steps for each upstream of a part that its improvement may take.
-constexpr std::uint64_t kPartStepsEach = 4'000;
+/// Step limit of a part's refinement, per upstream of the part.
+constexpr std::uint64_t kPartStepsPerUpstream = 4'000;
 
-/// What two ranges have in common; empty where that is nothing.
-LayerRange Common(LayerRange aOne, LayerRange aOther) {
+/// Returns the intersection of two ranges; empty if they are disjoint.
+LayerRange Intersection(LayerRange aOne, LayerRange aOther) {
   const int first = std::max(aOne.first, aOther.first);
   const int last = std::min(aOne.last, aOther.last);
   return first < last ? LayerRange{first, last} : LayerRange{};
@@ -33,20 +33,21 @@
 
 }  // namespace
 
-std::vector<PlacementOrder> DomainPlan::Make(bool aImproves, bool aIsStable,
-                                             std::uint64_t aTurn) {
-  this->LayOut();
+std::vector<PlacementOrder> DomainPlan::MakeOrders(bool aShouldImprove,
+                                                   bool aIsStable,
+                                                   std::uint64_t aPassNumber) {
+  this->PlanInitial();
   this->PlaceEmpty();
   this->FillGaps();
-  if (aImproves && this->orders.empty()) {
-    this->Improve(aIsStable, aTurn);
+  if (aShouldImprove && this->orders.empty()) {
+    this->Improve(aIsStable, aPassNumber);
   }
   return std::move(this->orders);
 }
 
-PartPlan DomainPlan::MakePart(std::uint64_t aMaxSteps) {
+PartPlan DomainPlan::MakePartPlan(std::uint64_t aMaxSteps) {
   this->maxSteps = aMaxSteps;
-  this->LayOutWhole();
+  this->PlanUnsplit();
   this->PlaceEmpty();
   this->FillGaps();
   this->Refine();
@@ -69,14 +70,14 @@
   this->orders.push_back({this->layout.At(aIndex).id, aRange, aReleaseMode});
 }
 
-void DomainPlan::LayOut() {
+void DomainPlan::PlanInitial() {
   std::vector<std::size_t> empty;
   for (std::size_t i = 0; i < this->layout.Count(); ++i) {
     if (this->IsEmpty(i)) {
       empty.push_back(i);
     }
   }
-  if (empty.size() > kMostAsWhole) {
+  if (empty.size() > kMaxUnsplit) {
     const std::size_t size = this->BestPartSize(empty);
     this->OrderAll(empty, this->PlanParts(empty, size));
   } else if (empty.size() == this->layout.Count()) {
@@ -99,7 +100,7 @@
   return best;
 }
 
-void DomainPlan::LayOutWhole() {
+void DomainPlan::PlanUnsplit() {
   SetAll(this->layout, PlanEmptyDomain(this->model, this->layout));
 }
 
@@ -115,11 +116,11 @@
 std::vector<LayerRange> DomainPlan::PlanParts(
     const std::vector<std::size_t>& aUpstreams, std::size_t aPartSize) {
   const auto parts = SplitEvenly(this->layout, aUpstreams, aPartSize);
-  std::map<std::string, std::vector<LayerRange>> known;
+  std::map<std::string, std::vector<LayerRange>> plansByComposition;
   std::map<std::size_t, LayerRange> ranges;
   for (const DomainPart& part : parts) {
     const auto [planned, isNew] =
-        known.try_emplace(CompositionOf(this->layout, part));
+        plansByComposition.try_emplace(CompositionOf(this->layout, part));
     if (isNew) {
       planned->second = this->PlanPart(part, parts.size()).ranges;
     }
@@ -141,19 +142,20 @@
     upstreams.push_back(this->layout.At(index));
     memory += this->layout.MemoryOf(index);
   }
-  const int times = static_cast<int>(aParts);
-  const double all = this->AllMemory();
-  const double share = all > 0 ? std::min(1.0, times * memory / all) : 0;
-  DomainPlan plan(
-      this->model, this->settings,
-      DomainLayout(this->model, this->settings.layoutScore,
-                   this->layout.Demand() * share, std::move(upstreams), times));
-  PartPlan made = plan.MakePart(kPartStepsEach * aPart.size());
+  const int multiplicity = static_cast<int>(aParts);
+  const double total = this->TotalMemory();
+  const double share =
+      total > 0 ? std::min(1.0, multiplicity * memory / total) : 0;
+  DomainPlan plan(this->model, this->settings,
+                  DomainLayout(this->model, this->settings.layoutScore,
+                               this->layout.Demand() * share,
+                               std::move(upstreams), multiplicity));
+  PartPlan partPlan = plan.MakePartPlan(kPartStepsPerUpstream * aPart.size());
   this->partSteps += plan.Steps();
-  return made;
+  return partPlan;
 }
 
-double DomainPlan::AllMemory() const {
+double DomainPlan::TotalMemory() const {
   double memory = 0;
   for (std::size_t i = 0; i < this->layout.Count(); ++i) {
     memory += this->layout.MemoryOf(i);
@@ -169,13 +171,14 @@
   return this->OneOfEachClass(true);
 }
 
-std::vector<std::size_t> DomainPlan::OneOfEachClass(bool aIsToChange) const {
+std::vector<std::size_t> DomainPlan::OneOfEachClass(
+    bool aMustBeChangeable) const {
   std::vector<bool> isSeen(this->layout.ClassBound());
   std::vector<std::size_t> upstreams;
   for (std::size_t i = 0; i < this->layout.Count(); ++i) {
     const std::size_t own = this->layout.ClassOf(i);
-    const bool counts = !aIsToChange || this->MayChange(i);
-    if (counts && !isSeen[own]) {
+    const bool isCandidate = !aMustBeChangeable || this->CanChange(i);
+    if (isCandidate && !isSeen[own]) {
       isSeen[own] = true;
       upstreams.push_back(i);
     }
@@ -183,8 +186,8 @@
   return upstreams;
 }
 
-Move DomainPlan::BestOf(std::size_t aIndex,
-                        const std::vector<LayerRange>& aRanges) {
+Move DomainPlan::BestMoveOf(std::size_t aIndex,
+                            const std::vector<LayerRange>& aRanges) {
   Move best{aIndex, {}, {this->model.layers + 1, 0}};
   for (const LayerRange& range : aRanges) {
     const LayoutScore score = this->layout.ScoreWith(aIndex, range);
@@ -198,25 +201,25 @@
 
 void DomainPlan::PlaceEmpty() {
   for (std::size_t i = 0; i < this->layout.Count(); ++i) {
-    if (!this->HasTimeLeft()) {
-      return;  // The next look goes on.
+    if (!this->HasStepsLeft()) {
+      return;  // The next pass continues.
     }
     if (!this->IsEmpty(i)) {
       continue;
     }
     const Move best =
-        this->BestOf(i, this->choices.At(i, this->choices.Edges()));
+        this->BestMoveOf(i, this->choices.AtEdges(i, this->choices.Edges()));
     if (best.layers.Size() > 0) {
       this->Order(i, best.layers, ReleaseMode::AbortRequests);
     }
   }
 }
 
-Move DomainPlan::BestFor(LayerRange aGap) {
+Move DomainPlan::BestMoveFor(LayerRange aGap) {
   Move best;
   best.score = this->layout.Score();
   for (const std::size_t i : this->Changeable()) {
-    Move move = this->BestOf(i, this->choices.For(i, aGap));
+    Move move = this->BestMoveOf(i, this->choices.Covering(i, aGap));
     move.score.value -= this->CostOf(i, move.layers);
     if (move.score.IsBetterThan(best.score)) {
       best = move;
@@ -233,7 +236,7 @@
       return;
     }
     const int gaps = this->layout.Score().gaps;
-    const Move best = this->BestFor(gap);
+    const Move best = this->BestMoveFor(gap);
     if (best.score.gaps >= gaps) {
       from = gap.last;
       continue;
@@ -244,20 +247,21 @@
 
 double DomainPlan::CostOf(std::size_t aIndex, LayerRange aLayers) {
   const LayerRange own = this->layout.At(aIndex).layers;
-  const LayerRange stays = Common(own, aLayers);
+  const LayerRange retained = Intersection(own, aLayers);
   const LayoutScore now = this->layout.Score();
-  const LayoutScore meanwhile = this->layout.ScoreWith(aIndex, stays);
-  const double lost = meanwhile.gaps > now.gaps
+  const LayoutScore duringChange = this->layout.ScoreWith(aIndex, retained);
+  const double lost = duringChange.gaps > now.gaps
                           ? 1
-                          : std::max(0.0, now.value - meanwhile.value);
+                          : std::max(0.0, now.value - duringChange.value);
   const double loading = ToSeconds(this->model.loadTime) *
-                         (aLayers.Size() - stays.Size()) / this->model.layers;
-  const double givingUp =
-      stays.Size() < own.Size() ? kGivingUpSeconds : kGrowingSeconds;
-  return lost * (loading + givingUp) / this->settings.horizonSeconds;
+                         (aLayers.Size() - retained.Size()) /
+                         this->model.layers;
+  const double releasing =
+      retained.Size() < own.Size() ? kReleaseSeconds : kGrowSeconds;
+  return lost * (loading + releasing) / this->settings.paybackSeconds;
 }
 
-bool DomainPlan::MayChange(std::size_t aIndex) const {
+bool DomainPlan::CanChange(std::size_t aIndex) const {
   const PlacedUpstream& upstream = this->layout.At(aIndex);
   return upstream.acceptsOrders && upstream.layers.Size() > 0;
 }
@@ -272,12 +276,12 @@
 void DomainPlan::Refine() {
   const std::vector<int> edges = this->choices.Edges();
   bool isBetter = true;
-  while (isBetter && this->HasTimeLeft()) {
+  while (isBetter && this->HasStepsLeft()) {
     Move best;
     best.score = this->layout.Score();
     best.score.value += this->settings.minGain;
     for (const std::size_t i : this->Representatives()) {
-      const Move move = this->BestOf(i, this->choices.At(i, edges));
+      const Move move = this->BestMoveOf(i, this->choices.AtEdges(i, edges));
       best = move.score.IsBetterThan(best.score) ? move : best;
     }
     isBetter = best.layers.Size() > 0;
@@ -287,11 +291,11 @@
   }
 }
 
-void DomainPlan::Improve(bool aIsStable, std::uint64_t aTurn) {
+void DomainPlan::Improve(bool aIsStable, std::uint64_t aPassNumber) {
   const LayoutScore present = this->layout.Score();
-  // Nothing is worth more than serving all without any loss.
-  const double most = 1;
-  if (present.gaps > 0 || present.value + this->settings.minGain >= most) {
+  // The maximum value: all demand is served without any loss.
+  const double maxValue = 1;
+  if (present.gaps > 0 || present.value + this->settings.minGain >= maxValue) {
     return;
   }
   const bool onlyGrows = !aIsStable || this->IsChanging();
@@ -301,11 +305,11 @@
   const std::vector<int> edges = this->choices.Edges();
   std::vector<std::size_t> upstreams = this->Changeable();
   std::rotate(upstreams.begin(),
-              upstreams.begin() +
-                  static_cast<std::ptrdiff_t>(aTurn % (upstreams.size() + 1)),
+              upstreams.begin() + static_cast<std::ptrdiff_t>(
+                                      aPassNumber % (upstreams.size() + 1)),
               upstreams.end());
   for (const std::size_t i : upstreams) {
-    if (!this->HasTimeLeft()) {
+    if (!this->HasStepsLeft()) {
       break;
     }
     this->ConsiderRanges(best, i, edges, onlyGrows);
@@ -322,9 +326,9 @@
                                 const std::vector<int>& aEdges,
                                 bool aOnlyGrows) {
   const LayerRange own = this->layout.At(aIndex).layers;
-  std::vector<LayerRange> ranges = this->choices.At(aIndex, aEdges);
-  const auto near = this->choices.Near(aIndex);
-  ranges.insert(ranges.end(), near.begin(), near.end());
+  std::vector<LayerRange> ranges = this->choices.AtEdges(aIndex, aEdges);
+  const auto shifted = this->choices.Shifted(aIndex);
+  ranges.insert(ranges.end(), shifted.begin(), shifted.end());
   for (const LayerRange& range : ranges) {
     if (!aOnlyGrows || range.Covers(own)) {
       this->Consider(aBest, aIndex, range);
@@ -347,8 +351,8 @@
   const LayerRange own = this->layout.At(aIndex).layers;
   for (const std::size_t next : aChangeable) {
     const LayerRange other = this->layout.At(next).layers;
-    const bool isNext = next != aIndex && other.first == own.last;
-    for (int shift = 1; isNext && shift <= kMaxShift; ++shift) {
+    const bool isAdjacent = next != aIndex && other.first == own.last;
+    for (int shift = 1; isAdjacent && shift <= kMaxShift; ++shift) {
       this->ConsiderShift(aBest, aIndex, {own.first, own.last + shift}, next,
                           {other.first + shift, other.last});
       this->ConsiderShift(aBest, next, {other.first - shift, other.last},
@@ -360,9 +364,9 @@
 void DomainPlan::ConsiderShift(Move& aBest, std::size_t aGrowing,
                                LayerRange aGrown, std::size_t aShrinking,
                                LayerRange aShrunk) {
-  const int fewest = MinLayers(this->model);
+  const int minLayers = MinLayers(this->model);
   if (aGrown.Size() > this->layout.MaxLayers(aGrowing) ||
-      aShrunk.Size() < fewest) {
+      aShrunk.Size() < minLayers) {
     return;
   }
   const LayerRange before = this->layout.At(aShrinking).layers;
--- a/Zincstep/Pool/DomainPlan.h
+++ b/Zincstep/Pool/DomainPlan.h
@@ -9,20 +9,20 @@
 
 namespace zincstep {
 
-/// One upstream's change, and the score after it.
+/// A change of one upstream's layers, and the score after it.
 struct Move {
   std::size_t index = 0;
   LayerRange layers;
   LayoutScore score;
 };
 
-/// The layout of a part of a domain: a range for each of its upstreams.
+/// Layout of a part of a domain: one range per upstream.
 struct PartPlan {
   std::vector<LayerRange> ranges;
   LayoutScore score;
 };
 
-/// Plans one failure domain.
+/// Plans the layers of one failure domain.
 class DomainPlan {
  public:
   DomainPlan(const ModelShape& aModel, const PlacementSettings& aSettings,
@@ -36,92 +36,96 @@
   DomainPlan(const DomainPlan&) = delete;
   DomainPlan& operator=(const DomainPlan&) = delete;
 
-  /// Orders for the domain as it is: what is empty is placed and gaps are
-  /// closed; where `aImproves`, one upstream is changed to serve better.
-  /// `aTurn` as in `PlacementInput`.
-  std::vector<PlacementOrder> Make(bool aImproves, bool aIsStable,
-                                   std::uint64_t aTurn);
+  /// Returns orders for the domain: empty upstreams are placed and gaps are
+  /// closed; if `aShouldImprove`, one upstream is changed to serve more.
+  /// `aPassNumber` as in `PlacementInput`.
+  std::vector<PlacementOrder> MakeOrders(bool aShouldImprove, bool aIsStable,
+                                         std::uint64_t aPassNumber);
 
-  /// Ranges for a part of a domain that holds nothing yet, one for each
-  /// upstream; what is not loaded yet is changed at no cost.
-  PartPlan MakePart(std::uint64_t aMaxSteps);
+  /// Plans a part of a domain whose upstreams hold nothing, one range for each.
+  /// Nothing is loaded yet, so changes are free.
+  PartPlan MakePartPlan(std::uint64_t aMaxSteps);
 
-  /// What the plan has cost so far, as `PlanCost::steps`.
+  /// Cost of the plan so far, as `PlanCost::steps`.
   std::uint64_t Steps() const { return this->partSteps + this->layout.Steps(); }
 
  private:
-  bool HasTimeLeft() const { return this->layout.Steps() < this->maxSteps; }
+  bool HasStepsLeft() const { return this->layout.Steps() < this->maxSteps; }
 
   bool IsEmpty(std::size_t aIndex) const;
 
   void Order(std::size_t aIndex, LayerRange aRange, ReleaseMode aReleaseMode);
 
-  /// Lays out the upstreams that hold nothing: as a whole where nobody holds
-  /// anything, in parts of the best size where they are many.
-  void LayOut();
+  /// Plans the upstreams that hold nothing: unsplit if the whole domain is
+  /// empty, in parts of the best size if they are many.
+  void PlanInitial();
 
-  /// The size of parts that is worth most, judged by the first part of each.
+  /// Returns the part size with the best score, estimated from the first part
+  /// of each size.
   std::size_t BestPartSize(const std::vector<std::size_t>& aUpstreams);
 
-  /// The layout of a part that is not split any more.
-  void LayOutWhole();
+  /// Plans the layout as a single part.
+  void PlanUnsplit();
 
   void OrderAll(const std::vector<std::size_t>& aUpstreams,
                 const std::vector<LayerRange>& aRanges);
 
-  /// Ranges for upstreams that hold nothing: in parts of about that size, each
-  /// laid out as if the domain consisted of such parts, those of one
-  /// composition alike.
+  /// Returns ranges for upstreams that hold nothing: in parts of about that
+  /// size, each planned as if the domain consisted of such parts; parts of the
+  /// same composition get the same layout.
   std::vector<LayerRange> PlanParts(const std::vector<std::size_t>& aUpstreams,
                                     std::size_t aPartSize);
 
-  /// Plans one of so many parts.
+  /// Plans one part of `aParts`.
   PartPlan PlanPart(const DomainPart& aPart, std::size_t aParts);
 
-  double AllMemory() const;
+  double TotalMemory() const;
 
-  /// One upstream of each class, what is tried with it stands for all; or one
-  /// of those that may be changed.
+  /// One upstream of each class, representing all of the class: of all
+  /// upstreams, or of those that can be changed.
   std::vector<std::size_t> Representatives() const;
   std::vector<std::size_t> Changeable() const;
-  std::vector<std::size_t> OneOfEachClass(bool aIsToChange) const;
+  std::vector<std::size_t> OneOfEachClass(bool aMustBeChangeable) const;
 
-  /// The change of an upstream to one of `aRanges` with the best score.
-  Move BestOf(std::size_t aIndex, const std::vector<LayerRange>& aRanges);
+  /// Returns the change of an upstream to one of `aRanges` with the best score.
+  Move BestMoveOf(std::size_t aIndex, const std::vector<LayerRange>& aRanges);
 
-  /// Gives each empty upstream the range that adds most.
+  /// Assigns each empty upstream the range with the best score.
   void PlaceEmpty();
 
-  /// The change that closes most of a gap; of equal ones, what costs least.
-  Move BestFor(LayerRange aGap);
+  /// Returns the change that closes most of a gap; among equal ones, the
+  /// cheapest.
+  Move BestMoveFor(LayerRange aGap);
 
-  /// Moves upstreams, or grows them, into layers that nobody holds.
+  /// Moves or extends upstreams to cover layers without a holder.
   void FillGaps();
 
-  /// What it costs to change an upstream, as a share of the demand that is
-  /// served over the time in which that has to pay: until it is done the domain
-  /// has only the layers that stay.
+  /// Cost of changing an upstream, as a share of the demand served over
+  /// `paybackSeconds`: until the change is complete the upstream only has the
+  /// layers that it retains.
   double CostOf(std::size_t aIndex, LayerRange aLayers);
 
-  bool MayChange(std::size_t aIndex) const;
+  bool CanChange(std::size_t aIndex) const;
 
-  /// Whether another upstream of the domain is being changed.
+  /// Whether any upstream of the domain is being changed.
   bool IsChanging() const;
 
-  /// Changes one upstream after the other while that adds to the worth.
+  /// Changes one upstream at a time while the value improves by at least
+  /// `minGain`.
   void Refine();
 
-  /// Changes one upstream where that serves more than it costs. While anything
-  /// else changes, upstreams only grow, which takes nothing away.
-  void Improve(bool aIsStable, std::uint64_t aTurn);
+  /// Changes one upstream if the gain exceeds the cost. While another upstream
+  /// of the domain changes, upstreams only grow, which removes no layer from
+  /// service.
+  void Improve(bool aIsStable, std::uint64_t aPassNumber);
 
   void ConsiderRanges(Move& aBest, std::size_t aIndex,
                       const std::vector<int>& aEdges, bool aOnlyGrows);
 
   void Consider(Move& aBest, std::size_t aIndex, LayerRange aRange);
 
-  /// Moves of the boundary between an upstream and the one behind it: the one
-  /// grows first; the other is then better off with less.
+  /// Considers moving the boundary between an upstream and the next one: the
+  /// growing one is ordered first; shrinking the other pays off afterwards.
   void ConsiderShifts(Move& aBest, std::size_t aIndex,
                       const std::vector<std::size_t>& aChangeable);
 
@@ -135,7 +139,7 @@
   DomainLayout layout;
   RangeChoices choices;
   std::vector<PlacementOrder> orders;
-  /// What the plans of parts have cost.
+  /// Cost of the plans of parts.
   std::uint64_t partSteps = 0;
 };
 
--- a/Zincstep/Pool/EmptyDomain.h
+++ b/Zincstep/Pool/EmptyDomain.h
@@ -6,23 +6,24 @@
 
 namespace zincstep {
 
-/// Lays out a failure domain whose upstreams hold nothing.
+/// Plans a failure domain whose upstreams hold nothing.
 ///
-/// Upstreams are filled in order of size, one copy of the model after the other
-/// and then as much of a last one as their memory allows. So the largest and
-/// quickest make up a copy of few members, and their layers, whose loss would
-/// take longest to load again, have the most holders. How much memory is kept
-/// for requests is tried from little to much, and the layout with the best
-/// score is taken. Gives a range for each upstream of `aLayout`, empty where it
-/// gets none; all are empty where no copy fits. `aLayout` is as before then.
+/// Upstreams are filled in descending order of size, one copy of the model
+/// after the other and then as much of a last copy as their memory allows. The
+/// largest and fastest ones form a copy with few members, and their layers,
+/// which take longest to reload after a loss, have the most holders. The memory
+/// reserved for requests is raised from little to much, and the layout with the
+/// best score is selected. Returns a range for each upstream of `aLayout`,
+/// empty if it gets none; all are empty if no copy fits. `aLayout` is restored
+/// to its empty state.
 std::vector<LayerRange> PlanEmptyDomain(const ModelShape& aModel,
                                         DomainLayout& aLayout);
 
-/// Gives each upstream of a layout its range.
+/// Assigns each upstream of a layout its range.
 void SetAll(DomainLayout& aLayout, const std::vector<LayerRange>& aRanges);
 
-/// The fewest layers that an upstream should hold, however many there are: a
-/// chain of such members is as long as chains may be.
+/// Minimum number of layers of an upstream, whatever the number of upstreams: a
+/// chain of members of this size has the maximum length.
 int MinLayers(const ModelShape& aModel);
 
 }  // namespace zincstep
--- a/Zincstep/Pool/LiveUpstream.cpp
+++ b/Zincstep/Pool/LiveUpstream.cpp
@@ -6,27 +6,27 @@
 
 namespace {
 
-/// First time without new work; about the silence after which an entry of
-/// a dead incarnation leaves the list.
-constexpr Micros kFirstSuspicion = 2s;
-constexpr Micros kLongestSuspicion = 16s;
-constexpr int kMostDoublings = 3;
-/// Refusals in a row that are no accident: memory may run short once.
-constexpr int kRefusalsInARow = 3;
-/// An upstream that refuses is tried again after this; one that leaves is
-/// off the list by then.
-constexpr Micros kRefusingTime = 1500ms;
-/// What an upstream told of its pace counts for so long; while it is slow it
-/// is asked each second.
-constexpr Micros kPaceLife = 2500ms;
-/// From this pace on an upstream is slow: work that doubles its time is worth
-/// reading a prompt again elsewhere.
-constexpr double kSlowPace = 2;
-/// Longest time that anybody is told to wait for a call.
-constexpr Micros kLongestCallWait = 5s;
-/// Time for a suspected upstream to prove that it lives, before its layers
-/// are placed elsewhere.
-constexpr Micros kSuspicionConfirmed = 160ms;
+/// Initial time without new work; about the time after which the entry of a
+/// dead incarnation expires.
+constexpr Micros kInitialSuspicion = 2s;
+constexpr Micros kMaxSuspicion = 16s;
+constexpr int kMaxDoublings = 3;
+/// Consecutive refusals after which an upstream counts as refusing: memory may
+/// run short for a single one.
+constexpr int kRefusalThreshold = 3;
+/// A refusing upstream is tried again after this time; the entry of a leaving
+/// one is removed by then.
+constexpr Micros kRefusalBackoff = 1500ms;
+/// Maximum age of a slowdown; a slow upstream is probed every second.
+constexpr Micros kSlowdownMaxAge = 2500ms;
+/// Slowdown from which an upstream counts as slow: at twice the time it is
+/// better to process a prompt again elsewhere.
+constexpr double kSlowThreshold = 2;
+/// Upper bound of the wait for a call.
+constexpr Micros kMaxCallWait = 5s;
+/// Time for a suspected upstream to respond before its layers are placed
+/// elsewhere.
+constexpr Micros kSuspicionConfirmDelay = 160ms;
 
 }  // namespace
 
@@ -65,26 +65,25 @@
 }
 
 Micros LiveUpstream::CallWait(Instant aNow) const {
-  const Micros rest = std::max(Micros{0}, this->backoffUntil - aNow);
-  const Micros share = this->callShare
-                           ? this->callShare->Wait(aNow, kLongestCallWait)
-                           : Micros{0};
-  return std::max(rest, share);
+  const Micros backoff = std::max(Micros{0}, this->backoffUntil - aNow);
+  const Micros share =
+      this->callShare ? this->callShare->Wait(aNow, kMaxCallWait) : Micros{0};
+  return std::max(backoff, share);
 }
 
 void LiveUpstream::Suspect(Instant aNow) {
   if (this->IsSuspect(aNow)) {
     return;
   }
-  const int doublings = std::min(this->suspicions, kMostDoublings);
+  const int doublings = std::min(this->suspicions, kMaxDoublings);
   this->suspectUntil =
-      aNow + std::min(kFirstSuspicion * (1 << doublings), kLongestSuspicion);
+      aNow + std::min(kInitialSuspicion * (1 << doublings), kMaxSuspicion);
   this->suspicions += 1;
   this->suspectedAt = aNow;
 }
 
 void LiveUpstream::OnResponse(Instant aNow) {
-  this->answeredAt = std::max(this->answeredAt, aNow);
+  this->lastResponseAt = std::max(this->lastResponseAt, aNow);
   if (aNow > this->suspectedAt) {
     this->ClearSuspicion();
   }
@@ -92,22 +91,22 @@
 
 bool LiveUpstream::IsNewlySuspect(Instant aNow) const {
   return this->IsSuspect(aNow) &&
-         aNow - this->suspectedAt < kSuspicionConfirmed;
+         aNow - this->suspectedAt < kSuspicionConfirmDelay;
 }
 
 double LiveUpstream::Slowdown(Instant aNow) const {
-  return aNow - this->slowdownAt < kPaceLife ? this->pace : 1;
+  return aNow - this->slowdownAt < kSlowdownMaxAge ? this->slowdown : 1;
 }
 
 bool LiveUpstream::IsSlow(Instant aNow) const {
-  return this->Slowdown(aNow) >= kSlowPace;
+  return this->Slowdown(aNow) >= kSlowThreshold;
 }
 
 void LiveUpstream::OnRefusal(Instant aNow) {
   this->refusals += 1;
-  if (this->refusals >= kRefusalsInARow) {
-    this->refusingUntil = aNow + kRefusingTime;
-    // Once it is tried again, it takes as many to find it refusing anew.
+  if (this->refusals >= kRefusalThreshold) {
+    this->refusingUntil = aNow + kRefusalBackoff;
+    // After the backoff the same number of refusals is required again.
     this->refusals = 0;
   }
 }
@@ -120,7 +119,8 @@
 void LiveUpstream::RemoveRemoteWork(double aWork) {
   ZINCSTEP_ASSERT(this->remoteDaemons > 0);
   this->remoteDaemons -= 1;
-  // Sums of fractions leave a rest: where nobody has work there is none.
+  // Sums of fractions leave a rounding error; without remote work the sum is
+  // exactly 0.
   this->remoteWork =
       this->remoteDaemons == 0 ? 0 : std::max(0.0, this->remoteWork - aWork);
 }
--- a/Zincstep/Pool/LiveUpstream.h
+++ b/Zincstep/Pool/LiveUpstream.h
@@ -11,7 +11,7 @@
 
 namespace zincstep {
 
-/// What an upstream tells of itself.
+/// State that an upstream announces.
 enum class Availability { Ready, Draining };
 
 inline constexpr NameTable<Availability, 2> kAvailabilityNames{{
@@ -19,58 +19,61 @@
     {Availability::Draining, "draining"},
 }};
 
-/// How a daemon came to know something of an upstream.
+/// How a daemon learnt something about an upstream.
 ///
-/// What was told is not told on: two daemons would keep it alive between
-/// them after whoever found it has seen that it is over.
+/// Reported information is not forwarded: otherwise two daemons would keep it
+/// alive between them after the daemon that observed it has seen that it no
+/// longer applies.
 enum class Provenance { Observed, Reported };
 
-/// One start of an upstream. It may start again under the id that it had, and
-/// then holds and knows nothing of before.
+/// One start of an upstream. An upstream may restart under the same id and then
+/// has no layers, requests or orders of the previous start.
 struct Incarnation {
   std::string id;
-  /// When it started, in milliseconds since 1970 by its own clock; only told
-  /// apart, never compared with another clock. 0: it does not tell.
+  /// Start time in milliseconds since 1970 by the upstream's own clock; only
+  /// tested for equality, never compared with another clock. 0: not stated.
   std::int64_t startTimeMs = 0;
 
   bool operator==(const Incarnation&) const = default;
-  /// Names it where a text is needed.
+  /// Text form, unique for each start.
   std::string Text() const {
     return this->id + "@" + std::to_string(this->startTimeMs);
   }
-  /// Stands for it where daemons tell each other of upstreams.
+  /// Hash that identifies the incarnation in messages between daemons.
   std::uint64_t Number() const { return Hash64(this->Text()); }
 };
 
-/// One incarnation of an upstream as it announces itself.
+/// The entry of one incarnation of an upstream, as it registers itself.
 struct UpstreamEntry {
-  /// Of the upstream; it may start again under it.
+  /// Id of the upstream; a restart may reuse it.
   std::string id;
   std::string service;
-  /// host:port; may go to another service once this incarnation has ended.
+  /// host:port; may be reused by another service after this incarnation has
+  /// ended.
   std::string address;
   std::string failureDomain;
   Availability state = Availability::Ready;
-  /// Requests that it works on at once.
+  /// Requests that it runs concurrently.
   int slots = 1;
-  /// Layers that it holds; empty where it holds none.
+  /// Layers that it holds; empty if none.
   LayerRange layers;
   /// Kind of its accelerator; empty for plain services.
   std::string kind;
-  /// When it started, as `Incarnation::startTimeMs`.
+  /// Start time, as `Incarnation::startTimeMs`.
   std::int64_t startTimeMs = 0;
 
-  /// What every belief about the upstream belongs to.
+  /// The incarnation to which all known state of the upstream belongs.
   zincstep::Incarnation Incarnation() const {
     return {this->id, this->startTimeMs};
   }
 
-  /// Whether it holds layers of a model and answers probes; else it is of a
-  /// plain service.
+  /// Whether it belongs to a model, holds layers and answers probes; otherwise
+  /// it belongs to a plain service.
   bool IsOfModel() const { return !this->kind.empty(); }
 };
 
-/// One incarnation with what this daemon knows of it beyond its entry.
+/// One incarnation of an upstream: its entry and the state that this daemon
+/// knows in addition.
 class LiveUpstream {
  public:
   explicit LiveUpstream(UpstreamEntry aEntry)
@@ -81,152 +84,157 @@
   std::uint64_t Number() const { return this->number; }
   void SetEntry(UpstreamEntry aEntry, Instant aNow);
 
-  /// It has said that it leaves: as if its entry did.
+  /// The upstream announced that it is leaving; treated as a draining entry.
   void SetLeaving(Instant aNow);
   bool IsDraining() const {
     return this->entry.state == Availability::Draining;
   }
 
-  /// There is evidence that it does not answer; it gets no new work for
-  /// a time that doubles with each suspicion in a row.
+  /// Suspects the upstream because it does not respond: it gets no new work for
+  /// a time that doubles with each consecutive suspicion.
   void Suspect(Instant aNow);
-  /// The evidence is out of date: it may be given work again, and the next
-  /// suspicion is as short as the first.
+  /// Clears the suspicion: the upstream may get work again, and the next
+  /// suspicion has the initial length.
   void ClearSuspicion() {
     this->suspectUntil = Instant{};
     this->suspicions = 0;
   }
-  /// It has refused work; no more is given to it until then.
+  /// Sends no new work until `aUntil`, after the upstream refused some.
   void EjectUntil(Instant aUntil) {
     this->ejectionEnd = std::max(this->ejectionEnd, aUntil);
   }
   bool IsSuspect(Instant aNow) const { return aNow < this->suspectUntil; }
-  /// Whether the suspicion has just come up and may yet prove to be wrong.
+  /// Whether the suspicion is recent and not confirmed yet.
   bool IsNewlySuspect(Instant aNow) const;
 
-  /// It has left the list; what runs there may still end.
+  /// The entry was removed; requests that run there may still complete.
   void SetDeregistered(Instant aNow);
-  /// It is on the list again: it was cut off, not ended.
+  /// The entry of the same incarnation is back: it was partitioned, not ended.
   void SetReregistered() {
     this->isDeregistered = this->hasEnded;
     this->leavingSince.reset();
   }
   bool IsDeregistered() const { return this->isDeregistered; }
-  /// It has started again: nothing that was sent to this start runs any more.
+  /// The upstream has restarted: no request sent to this incarnation runs any
+  /// more.
   void SetEnded(Instant aNow) {
     this->hasEnded = true;
     this->SetDeregistered(aNow);
   }
   bool HasEnded() const { return this->hasEnded; }
-  /// Whether it has been leaving for so long.
-  bool IsLeaving(Instant aNow, Micros aFor) const {
-    return this->leavingSince && aNow - *this->leavingSince >= aFor;
+  /// Whether it has been leaving for at least `aDuration`.
+  bool IsLeaving(Instant aNow, Micros aDuration) const {
+    return this->leavingSince && aNow - *this->leavingSince >= aDuration;
   }
-  /// Whether new work may be given to it.
+  /// Whether it may get new work.
   bool IsUsable(Instant aNow) const {
     return !this->isDeregistered && this->entry.state == Availability::Ready &&
            !this->IsSuspect(aNow) && !this->IsRefusing(aNow) &&
            aNow >= this->ejectionEnd;
   }
-  /// Whether it lives and stays, as far as is known.
+  /// Whether it is alive and not leaving, as far as known.
   bool IsHealthy(Instant aNow) const {
     return !this->isDeregistered && this->entry.state == Availability::Ready &&
            !this->IsSuspect(aNow);
   }
-  /// Whether it does, and takes new work.
+  /// Whether it is healthy and accepts new work.
   bool IsAcceptingWork(Instant aNow) const {
     return this->IsHealthy(aNow) && !this->IsRefusing(aNow);
   }
 
-  /// It names a limit, of which this daemon may use so many calls a second.
+  /// Sets this daemon's share of the upstream's call limit, in calls per
+  /// second.
   void SetCallRate(double aPerSecond, Instant aNow);
-  /// It names no limit any more.
-  void LiftCallRate() { this->callShare.reset(); }
-  /// It wants no call from this daemon until then.
+  /// Removes the call limit.
+  void ClearCallRate() { this->callShare.reset(); }
+  /// Makes no calls to the upstream until `aUntil`, as it requested.
   void BackOffUntil(Instant aUntil) {
     this->backoffUntil = std::max(this->backoffUntil, aUntil);
   }
   bool IsBackingOff(Instant aNow) const { return aNow < this->backoffUntil; }
-  /// A call to it begins, whatever for.
+  /// Records the start of a call of any kind.
   void OnCall(Instant aNow);
-  /// Whether this daemon may call it now: send a request, an order or a
-  /// question. As a later member of a chain it gets no calls.
+  /// Whether this daemon may send it a request, an order or a probe now. As a
+  /// later member of a chain an upstream receives no calls.
   bool MayCall(Instant aNow) const {
     return !this->IsBackingOff(aNow) &&
            (!this->callShare || this->callShare->HasCall(aNow));
   }
-  /// Whether it has had no call for so long that its limit may have ended.
+  /// Whether it has not been called for so long that its limit may have ended.
   bool IsCallOverdue(Instant aNow) const {
     return this->callShare && this->callShare->IsOverdue(aNow);
   }
-  /// Time until this daemon may.
+  /// Time until this daemon may call it.
   Micros CallWait(Instant aNow) const;
 
-  /// Something came through it, which proves that it lives.
+  /// Records a response or an event, which shows that the upstream is alive.
   void OnResponse(Instant aNow);
-  /// When it was last proved to live.
-  Instant LastResponseAt() const { return this->answeredAt; }
+  /// Time of the last response.
+  Instant LastResponseAt() const { return this->lastResponseAt; }
 
-  /// It has told how quick it is; above 1 it is slower than its kind.
-  void SetSlowdown(double aPace, Instant aNow,
+  /// Sets its time per step over the normal time of its kind.
+  void SetSlowdown(double aSlowdown, Instant aNow,
                    Provenance aProvenance = Provenance::Observed) {
-    this->pace = aPace;
+    this->slowdown = aSlowdown;
     this->slowdownAt = aNow;
     this->slowdownProvenance = aProvenance;
   }
-  /// What it last told of that, unless it is out of date: then 1.
+  /// Its last known slowdown, or 1 if that is out of date.
   double Slowdown(Instant aNow) const;
-  /// The same if it told this daemon, else 1.
+  /// The slowdown if this daemon observed it, else 1.
   double ObservedSlowdown(Instant aNow) const {
     return this->slowdownProvenance == Provenance::Observed
                ? this->Slowdown(aNow)
                : 1;
   }
-  /// Whether it takes so much longer that requests should go elsewhere.
+  /// Whether it is so slow that requests should move to another upstream.
   bool IsSlow(Instant aNow) const;
 
-  /// It has refused a request although it should have room: evidence that
-  /// it leaves or lacks what it tells, once it comes twice in a row.
+  /// Records that it refused a request although it should have room. Several
+  /// refusals in a row show that it is leaving or lacks the resources that it
+  /// reported.
   void OnRefusal(Instant aNow);
-  /// It has accepted a request.
+  /// Records that it accepted a request.
   void OnAccepted() { this->refusals = 0; }
-  /// Whether it is taken to refuse all new work.
+  /// Whether it is expected to refuse all new work.
   bool IsRefusing(Instant aNow) const { return aNow < this->refusingUntil; }
-  /// Work of this daemon in flight, in tokens x layers or in requests.
+  /// Work of this daemon in flight, in tokens x layers for models or in
+  /// requests for plain services.
   double localWork = 0;
-  /// Another daemon has that much work in flight; see `PeerWork`.
+  /// Adds another daemon's work in flight; see `PeerWork`.
   void AddRemoteWork(double aWork);
-  /// Takes back what was added before.
+  /// Subtracts work that `AddRemoteWork` added.
   void RemoveRemoteWork(double aWork);
-  /// All work in flight that is known of.
+  /// All known work in flight.
   double Work() const { return this->localWork + this->remoteWork; }
-  /// Time of an answer of a plain service, averaged, in seconds.
+  /// Average response time of a plain service, in seconds; 0: none yet.
   double responseSeconds = 0;
-  /// Requests that waited there when it last told; set back as time passes.
+  /// Queued requests in its last response, and when that arrived.
   double queuedRequests = 0;
   Instant queueReportedAt;
 
  private:
   UpstreamEntry entry;
   std::uint64_t number;
-  /// Work of all other daemons, and how many of them have some.
+  /// Work of all other daemons, and the number of daemons that have some.
   double remoteWork = 0;
   int remoteDaemons = 0;
-  /// None: it names no limit.
+  /// None: the upstream states no limit.
   std::optional<CallShare> callShare;
   Instant backoffUntil{};
   Instant refusingUntil{};
   std::optional<Instant> leavingSince;
   int refusals = 0;
   Instant suspectUntil{};
-  Instant answeredAt{};
+  Instant lastResponseAt{};
   Instant ejectionEnd{};
   Instant suspectedAt{};
   int suspicions = 0;
-  double pace = 1;
+  double slowdown = 1;
   Instant slowdownAt{};
   Provenance slowdownProvenance = Provenance::Reported;
-  /// It has said so itself; its entry may be written before it says so too.
+  /// Whether it announced that it is leaving; its entry may be written before
+  /// it says so too.
   bool isLeaving = false;
   bool isDeregistered = false;
   bool hasEnded = false;
--- a/Zincstep/Pool/PeerWork.cpp
+++ b/Zincstep/Pool/PeerWork.cpp
@@ -2,32 +2,32 @@
 
 namespace zincstep {
 
-void PeerWork::TakeBack(Told& aTold) {
-  for (const PeerShare& share : aTold.shares) {
+void PeerWork::Revert(Report& aReport) {
+  for (const PeerShare& share : aReport.shares) {
     share.upstream->RemoveRemoteWork(share.work);
   }
-  aTold.shares.clear();
+  aReport.shares.clear();
 }
 
 void PeerWork::Update(const std::string& aDaemon,
                       std::vector<PeerShare> aShares, Instant aNow) {
-  Told& told = this->byDaemon[aDaemon];
-  TakeBack(told);
-  told.shares = std::move(aShares);
-  told.at = aNow;
-  for (const PeerShare& share : told.shares) {
+  Report& report = this->byDaemon[aDaemon];
+  Revert(report);
+  report.shares = std::move(aShares);
+  report.at = aNow;
+  for (const PeerShare& share : report.shares) {
     share.upstream->AddRemoteWork(share.work);
   }
 }
 
-void PeerWork::Tick(Instant aNow, Micros aLife) {
-  for (auto told = this->byDaemon.begin(); told != this->byDaemon.end();) {
-    if (aNow - told->second.at < aLife) {
-      ++told;
+void PeerWork::Tick(Instant aNow, Micros aMaxAge) {
+  for (auto report = this->byDaemon.begin(); report != this->byDaemon.end();) {
+    if (aNow - report->second.at < aMaxAge) {
+      ++report;
       continue;
     }
-    TakeBack(told->second);
-    told = this->byDaemon.erase(told);
+    Revert(report->second);
+    report = this->byDaemon.erase(report);
   }
 }
 
--- a/Zincstep/Pool/PeerWork.h
+++ b/Zincstep/Pool/PeerWork.h
@@ -8,38 +8,38 @@
 
 namespace zincstep {
 
-/// Work in flight at one upstream, as another daemon tells it.
+/// Work in flight at one upstream that another daemon reported.
 struct PeerShare {
   UpstreamPtr upstream;
-  /// In tokens x layers or in requests, as `LiveUpstream::own`.
+  /// In tokens x layers or in requests, as `LiveUpstream::localWork`.
   double work = 0;
 };
 
-/// What the other daemons told of their work in flight.
+/// Work in flight that the other daemons reported.
 ///
-/// A daemon tells all of its work at a time, so it is kept by teller: what
-/// one has at some dozen upstreams is replaced without a look at thousands of
-/// others, and an upstream carries the sum alone. With sums by upstream and
-/// teller, 100 daemons of a domain with 3,000 upstreams spent half of their
-/// processor time here (perf, sweep at 300 machines).
+/// A daemon reports all of its work at once, so it is stored by reporting
+/// daemon: a report replaces the work at some dozen upstreams without visiting
+/// thousands of others, and an upstream only has the sum. With sums by upstream
+/// and reporting daemon, 100 daemons of a domain with 3,000 upstreams spent
+/// half of their processor time here (perf, sweep at 300 machines).
 class PeerWork {
  public:
-  /// Replaces what `aDaemon` told before.
+  /// Replaces the previous report of `aDaemon`.
   void Update(const std::string& aDaemon, std::vector<PeerShare> aShares,
               Instant aNow);
-  /// Takes back what daemons told that have told nothing for `aLife`: they
-  /// have ended or are cut off.
-  void Tick(Instant aNow, Micros aLife);
+  /// Removes the work of daemons whose last report is older than `aMaxAge`:
+  /// they have stopped or are partitioned.
+  void Tick(Instant aNow, Micros aMaxAge);
 
  private:
-  struct Told {
+  struct Report {
     std::vector<PeerShare> shares;
     Instant at;
   };
 
-  static void TakeBack(Told& aTold);
+  static void Revert(Report& aReport);
 
-  std::map<std::string, Told> byDaemon;
+  std::map<std::string, Report> byDaemon;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Pool/Placement.h
+++ b/Zincstep/Pool/Placement.h
@@ -11,63 +11,63 @@
 
 namespace zincstep {
 
-/// What becomes of requests at an upstream that gives layers up.
+/// What becomes of requests at an upstream that releases layers.
 enum class ReleaseMode {
-  /// They end first; the new layers are loaded after that.
+  /// Running requests complete first; then the new layers are loaded.
   DrainRequests,
-  /// They are cut off, and go on elsewhere.
+  /// Running requests are aborted and resume on other upstreams.
   AbortRequests,
 };
 
-/// An upstream as placement sees it.
+/// State of an upstream as input of the placement.
 struct PlacedUpstream {
   std::string id;
   std::string failureDomain;
   std::string kind;
-  /// What it holds, or will hold once a running order is done.
+  /// Layers that it holds, or will hold after the order in progress.
   LayerRange layers;
-  /// Whether it gets orders: ready, answering, no order under way.
+  /// Whether it may get orders: ready, responding, no order in progress.
   bool acceptsOrders = true;
-  /// Requests that it works on at once.
+  /// Requests that it runs concurrently.
   int slots = 192;
   /// Its incarnation, as `LiveUpstream::Number`.
   std::uint64_t incarnation = 0;
 };
 
-/// An order: the upstream is to hold these layers instead of its own.
+/// An order to hold these layers instead of the present ones.
 struct PlacementOrder {
   std::string id;
   LayerRange layers;
   ReleaseMode releaseMode = ReleaseMode::AbortRequests;
 };
 
-/// What callers need, as it was observed.
+/// Observed demand of callers.
 struct ObservedDemand {
-  /// Tokens of requests that all failure domains together have in flight where
-  /// everything is served, at the peak.
+  /// Peak of the tokens of requests in flight in all failure domains, if every
+  /// request were served.
   double tokens = 0;
-  /// How much of the assumption before any traffic still counts, from 1 down.
-  double priorLeft = 1;
+  /// Weight of the assumed demand before any traffic, decreasing from 1.
+  double priorWeight = 1;
 };
 
-/// What a plan is made from.
+/// Input of a plan.
 struct PlacementInput {
   std::vector<PlacedUpstream> upstreams;
-  /// What callers need; none where that is not known yet.
+  /// Demand; none if it is not known yet.
   std::optional<ObservedDemand> demand;
-  /// Failure domains that have been as they are for a while: only these are
-  /// changed to serve better, and not just to cover all layers.
+  /// Failure domains that have not changed for a while. Only these are changed
+  /// to serve more; the others are only changed to cover all layers.
   std::set<std::string> stableDomains;
-  /// The only failure domain that is looked at for that now, as it takes some
-  /// milliseconds; none: all of them.
+  /// The only failure domain to improve in this pass, since improving one takes
+  /// some milliseconds; none: all of them.
   std::optional<std::string> domainToImprove = std::nullopt;
-  /// Rises with each look: a domain with too many upstreams for one look is
-  /// looked at in parts, each time from another one on.
+  /// Incremented with each pass. A domain with too many upstreams for one pass
+  /// is improved in parts, each time starting at another upstream.
   std::uint64_t passNumber = 0;
 };
 
-/// What a plan has cost: the layers and classes of upstreams that scores of
-/// layouts have looked at, whatever the machine.
+/// Cost of a plan: layers and classes of upstreams that the scores of layouts
+/// evaluated, independent of the machine.
 struct PlanCost {
   std::uint64_t steps = 0;
 };
--- a/Zincstep/Pool/PlacementPlanner.cpp
+++ b/Zincstep/Pool/PlacementPlanner.cpp
@@ -10,9 +10,10 @@
 
 namespace {
 
-/// Tokens of requests that one copy of the model leaves memory for.
-double RoomBesideOneCopy(const ModelShape& aModel,
-                         const std::vector<PlacedUpstream>& aUpstreams) {
+/// Request tokens that fit into the memory that one copy of the model leaves
+/// free.
+double TokensBesideOneCopy(const ModelShape& aModel,
+                           const std::vector<PlacedUpstream>& aUpstreams) {
   double memory = -aModel.layers * aModel.layerMb;
   for (const PlacedUpstream& upstream : aUpstreams) {
     const PoolKind* kind = aModel.FindKind(upstream.kind);
@@ -23,38 +24,38 @@
 
 }  // namespace
 
-std::vector<PlacementOrder> PlacementPlanner::Plan(
-    const ModelShape& aModel, const PlacementInput& aSituation,
-    PlanCost* aEffort) const {
+std::vector<PlacementOrder> PlacementPlanner::Plan(const ModelShape& aModel,
+                                                   const PlacementInput& aInput,
+                                                   PlanCost* aCost) const {
   std::map<std::string, std::vector<PlacedUpstream>> byDomain;
-  for (const PlacedUpstream& upstream : aSituation.upstreams) {
+  for (const PlacedUpstream& upstream : aInput.upstreams) {
     byDomain[upstream.failureDomain].push_back(upstream);
   }
-  std::map<std::string, double> rooms;
-  double allRoom = 0;
+  std::map<std::string, double> tokensByDomain;
+  double totalTokens = 0;
   for (const auto& [domain, upstreams] : byDomain) {
-    rooms[domain] = RoomBesideOneCopy(aModel, upstreams);
-    allRoom += rooms[domain];
+    tokensByDomain[domain] = TokensBesideOneCopy(aModel, upstreams);
+    totalTokens += tokensByDomain[domain];
   }
   std::vector<PlacementOrder> orders;
   for (auto& [domain, upstreams] : byDomain) {
-    // Requests go where there is room for them.
-    const double room = rooms[domain];
-    const ObservedDemand seen = aSituation.demand.value_or(ObservedDemand{});
-    const double demand =
-        std::max(allRoom > 0 ? seen.tokens * room / allRoom : 0,
-                 seen.priorLeft * this->settings.priorShare * room);
+    // Requests spread over the domains in proportion to their free memory.
+    const double domainTokens = tokensByDomain[domain];
+    const ObservedDemand observed = aInput.demand.value_or(ObservedDemand{});
+    const double demand = std::max(
+        totalTokens > 0 ? observed.tokens * domainTokens / totalTokens : 0,
+        observed.priorWeight * this->settings.priorShare * domainTokens);
     DomainPlan plan(aModel, this->settings,
                     DomainLayout(aModel, this->settings.layoutScore, demand,
                                  std::move(upstreams)));
-    const bool improves =
-        !aSituation.domainToImprove || *aSituation.domainToImprove == domain;
-    const auto made =
-        plan.Make(improves, aSituation.stableDomains.contains(domain),
-                  aSituation.passNumber);
-    orders.insert(orders.end(), made.begin(), made.end());
-    if (aEffort != nullptr) {
-      aEffort->steps += plan.Steps();
+    const bool shouldImprove =
+        !aInput.domainToImprove || *aInput.domainToImprove == domain;
+    const auto domainOrders =
+        plan.MakeOrders(shouldImprove, aInput.stableDomains.contains(domain),
+                        aInput.passNumber);
+    orders.insert(orders.end(), domainOrders.begin(), domainOrders.end());
+    if (aCost != nullptr) {
+      aCost->steps += plan.Steps();
     }
   }
   return orders;
--- a/Zincstep/Pool/Pool.h
+++ b/Zincstep/Pool/Pool.h
@@ -1,8 +1,7 @@
 #pragma once
 
-/// \file
-/// Public header of the pool library: the upstreams of services, which of
-/// a model's layers each one holds or should hold, and the chains that
+/// \file Public header of the pool library: the upstreams of services, the
+/// layers of a model that each one holds or should hold, and the chains that
 /// requests take through them.
 
 #include "Zincstep/Pool/CallLimits.h"
--- a/Zincstep/Pool/RangeChoices.cpp
+++ b/Zincstep/Pool/RangeChoices.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Sizes that are tried for an upstream, at most: those of large ones are
-/// spread over what they may hold.
-constexpr int kMostSizes = 16;
+/// Maximum number of sizes that are tried for an upstream; those of large ones
+/// are spread evenly over the possible sizes.
+constexpr int kMaxSizes = 16;
 
 }  // namespace
 
@@ -36,13 +36,13 @@
   return edges;
 }
 
-std::vector<LayerRange> RangeChoices::At(std::size_t aIndex,
-                                         const std::vector<int>& aEdges) const {
+std::vector<LayerRange> RangeChoices::AtEdges(
+    std::size_t aIndex, const std::vector<int>& aEdges) const {
   std::vector<LayerRange> ranges;
-  const int most = this->layout.MaxLayers(aIndex);
-  const int fewest = std::min(most, MinLayers(this->model));
-  const int step = std::max(1, (most - fewest) / kMostSizes);
-  for (int size = most; size >= fewest && size > 0; size -= step) {
+  const int maxLayers = this->layout.MaxLayers(aIndex);
+  const int minLayers = std::min(maxLayers, MinLayers(this->model));
+  const int step = std::max(1, (maxLayers - minLayers) / kMaxSizes);
+  for (int size = maxLayers; size >= minLayers && size > 0; size -= step) {
     for (const int edge : aEdges) {
       this->Add(ranges, aIndex, {edge, edge + size});
       this->Add(ranges, aIndex, {edge - size, edge});
@@ -51,7 +51,7 @@
   return ranges;
 }
 
-std::vector<LayerRange> RangeChoices::Near(std::size_t aIndex) const {
+std::vector<LayerRange> RangeChoices::Shifted(std::size_t aIndex) const {
   std::vector<LayerRange> ranges;
   const LayerRange own = this->layout.At(aIndex).layers;
   for (int first = -kMaxShift; first <= kMaxShift; ++first) {
@@ -65,20 +65,22 @@
   return ranges;
 }
 
-std::vector<LayerRange> RangeChoices::For(std::size_t aIndex,
-                                          LayerRange aGap) const {
-  auto ranges = this->At(aIndex, {aGap.first, aGap.last});
+std::vector<LayerRange> RangeChoices::Covering(std::size_t aIndex,
+                                               LayerRange aGap) const {
+  auto ranges = this->AtEdges(aIndex, {aGap.first, aGap.last});
   const LayerRange own = this->layout.At(aIndex).layers;
-  const int most = this->layout.MaxLayers(aIndex);
-  if (this->layout.Times() == 1) {
-    // The last of a gap may be smaller than upstreams usually are; repeated
-    // in each part that would make many chains longer.
+  const int maxLayers = this->layout.MaxLayers(aIndex);
+  if (this->layout.Multiplicity() == 1) {
+    // The last range of a gap may be smaller than usual; repeated in each part
+    // that would make many chains longer.
     this->Add(ranges, aIndex,
-              {aGap.first, std::min(aGap.last, aGap.first + most)});
+              {aGap.first, std::min(aGap.last, aGap.first + maxLayers)});
   }
-  // It may keep its own, and with them the requests that run there.
-  this->Add(ranges, aIndex, {own.first, std::min(aGap.last, own.first + most)});
-  this->Add(ranges, aIndex, {std::max(aGap.first, own.last - most), own.last});
+  // Ranges that retain the present layers and the requests that run there.
+  this->Add(ranges, aIndex,
+            {own.first, std::min(aGap.last, own.first + maxLayers)});
+  this->Add(ranges, aIndex,
+            {std::max(aGap.first, own.last - maxLayers), own.last});
   return ranges;
 }
 
--- a/Zincstep/Pool/RangeChoices.h
+++ b/Zincstep/Pool/RangeChoices.h
@@ -6,27 +6,29 @@
 
 namespace zincstep {
 
-/// Layers by which a range is grown or shrunk at its ends.
+/// Maximum number of layers by which either end of a range is moved.
 inline constexpr int kMaxShift = 3;
 
-/// Which ranges are tried for an upstream of a layout.
+/// Candidate ranges for the upstreams of a layout.
 class RangeChoices {
  public:
   RangeChoices(const ModelShape& aModel, const DomainLayout& aLayout)
       : model(aModel), layout(aLayout) {}
 
-  /// Layers at which an upstream's range begins or ends.
+  /// Returns the layers at which the range of any upstream begins or ends.
   std::vector<int> Edges() const;
-  /// Ranges that begin or end at one of `aEdges`.
-  std::vector<LayerRange> At(std::size_t aIndex,
-                             const std::vector<int>& aEdges) const;
-  /// Its own range with either end moved a little.
-  std::vector<LayerRange> Near(std::size_t aIndex) const;
-  /// Ranges that cover a gap or a part of it.
-  std::vector<LayerRange> For(std::size_t aIndex, LayerRange aGap) const;
+  /// Returns ranges that begin or end at one of `aEdges`.
+  std::vector<LayerRange> AtEdges(std::size_t aIndex,
+                                  const std::vector<int>& aEdges) const;
+  /// Returns its present range with either end moved by up to `kMaxShift`
+  /// layers.
+  std::vector<LayerRange> Shifted(std::size_t aIndex) const;
+  /// Returns ranges that cover a gap or a part of it.
+  std::vector<LayerRange> Covering(std::size_t aIndex, LayerRange aGap) const;
 
  private:
-  /// Adds a range that the model has and the upstream has memory for.
+  /// Adds a range if it lies inside the model and fits into the upstream's
+  /// memory.
   void Add(std::vector<LayerRange>& aRanges, std::size_t aIndex,
            LayerRange aRange) const;
 
--- a/Zincstep/Pool/ServiceChooser.cpp
+++ b/Zincstep/Pool/ServiceChooser.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Expected times are varied by this share, so that equal upstreams share.
+/// Relative random variation of expected times, so that equal upstreams share
+/// the load.
 constexpr double kJitter = 0.1;
 
 }  // namespace
@@ -15,18 +16,18 @@
                                        const std::string& aOwnDomain,
                                        Instant aNow) const {
   const double slots = std::max(1, aUpstream.Entry().slots);
-  const double answer = aUpstream.responseSeconds > 0
-                            ? aUpstream.responseSeconds
-                            : this->settings.firstAnswerSeconds;
-  const bool remembers =
-      aNow - aUpstream.queueReportedAt < this->settings.queueMemory;
-  const double waiting = std::max(remembers ? aUpstream.queuedRequests : 0,
+  const double response = aUpstream.responseSeconds > 0
+                              ? aUpstream.responseSeconds
+                              : this->settings.initialResponseSeconds;
+  const bool isQueueKnown =
+      aNow - aUpstream.queueReportedAt < this->settings.queueMaxAge;
+  const double waiting = std::max(isQueueKnown ? aUpstream.queuedRequests : 0,
                                   std::max(0.0, aUpstream.Work() + 1 - slots));
-  const double away = aUpstream.Entry().failureDomain == aOwnDomain
-                          ? 0
-                          : this->settings.otherDomainSeconds;
-  return answer * (1 + waiting / slots) +
-         answer * aUpstream.Work() / slots / 2 + away;
+  const double remoteSeconds = aUpstream.Entry().failureDomain == aOwnDomain
+                                   ? 0
+                                   : this->settings.remoteDomainSeconds;
+  return response * (1 + waiting / slots) +
+         response * aUpstream.Work() / slots / 2 + remoteSeconds;
 }
 
 UpstreamPtr ServiceChooser::Choose(const std::vector<UpstreamPtr>& aUpstreams,
@@ -36,14 +37,14 @@
   UpstreamPtr best;
   double bestSeconds = 0;
   for (const UpstreamPtr& upstream : aUpstreams) {
-    const bool tried =
+    const bool wasTried =
         std::find(aTried.begin(), aTried.end(), upstream) != aTried.end();
-    if (tried || !upstream->IsUsable(aNow) || !upstream->MayCall(aNow)) {
+    if (wasTried || !upstream->IsUsable(aNow) || !upstream->MayCall(aNow)) {
       continue;
     }
     if (upstream->IsCallOverdue(aNow)) {
-      // Old answer times may say it is slow for as long as others are idle, and
-      // the end of its limit would never be found out.
+      // Old response times may rate it as slow as long as others are idle, and
+      // the end of its limit would never be discovered.
       return upstream;
     }
     const double seconds = this->ExpectedSeconds(*upstream, aOwnDomain, aNow) *
@@ -56,11 +57,12 @@
   return best;
 }
 
-void ServiceChooser::OnResponse(LiveUpstream& aUpstream, Micros aTaken) const {
-  const double taken = ToSeconds(aTaken);
-  const double share =
-      aUpstream.responseSeconds > 0 ? this->settings.average : 1;
-  aUpstream.responseSeconds += share * (taken - aUpstream.responseSeconds);
+void ServiceChooser::OnResponse(LiveUpstream& aUpstream,
+                                Micros aResponseTime) const {
+  const double seconds = ToSeconds(aResponseTime);
+  const double weight =
+      aUpstream.responseSeconds > 0 ? this->settings.responseWeight : 1;
+  aUpstream.responseSeconds += weight * (seconds - aUpstream.responseSeconds);
 }
 
 }  // namespace zincstep
--- a/Zincstep/Pool/ServiceChooser.h
+++ b/Zincstep/Pool/ServiceChooser.h
@@ -7,34 +7,34 @@
 
 namespace zincstep {
 
-/// Settings of the choice among a plain service's upstreams.
+/// Settings of the upstream selection for plain services.
 struct ServiceChooserSettings {
-  /// An upstream in another failure domain costs this much more, in
-  /// seconds: some round trips, and bytes that are paid for.
-  double otherDomainSeconds = 0.02;
-  /// Time of an answer that is assumed before the first one, in seconds.
-  double firstAnswerSeconds = 0.05;
-  /// Weight of a new answer in the average.
-  double average = 0.2;
-  /// What an upstream tells of its queue counts for so long.
-  Micros queueMemory = 1s;
+  /// Additional cost of an upstream in another failure domain, in seconds: some
+  /// round trips and billed traffic.
+  double remoteDomainSeconds = 0.02;
+  /// Response time that is assumed before the first response, in seconds.
+  double initialResponseSeconds = 0.05;
+  /// Weight of a new response in the average.
+  double responseWeight = 0.2;
+  /// Maximum age of the queue length that an upstream reported.
+  Micros queueMaxAge = 1s;
 };
 
-/// Chooses upstreams of a plain service: the one where an answer is
-/// expected soonest, by requests in flight and its answers so far.
+/// Selects upstreams of a plain service: the one with the lowest expected
+/// response time, by its requests in flight and its past response times.
 class ServiceChooser {
  public:
   explicit ServiceChooser(ServiceChooserSettings aSettings)
       : settings(aSettings) {}
 
-  /// The best of those that are usable, may be called and are not in `aTried`,
-  /// or null.
+  /// Returns the best upstream that is usable, may be called and is not in
+  /// `aTried`, or null.
   UpstreamPtr Choose(const std::vector<UpstreamPtr>& aUpstreams,
                      const std::string& aOwnDomain,
                      const std::vector<UpstreamPtr>& aTried, Instant aNow,
                      Random& aRandom) const;
-  /// An upstream has answered a request after `aTaken`.
-  void OnResponse(LiveUpstream& aUpstream, Micros aTaken) const;
+  /// Records the response time of a request.
+  void OnResponse(LiveUpstream& aUpstream, Micros aResponseTime) const;
 
  private:
   double ExpectedSeconds(const LiveUpstream& aUpstream,
--- a/Zincstep/Pool/UpstreamCall.h
+++ b/Zincstep/Pool/UpstreamCall.h
@@ -6,8 +6,8 @@
 
 namespace zincstep {
 
-/// What a call to an upstream is for. An upstream that names a limit counts
-/// all of them.
+/// Purpose of a call to an upstream. An upstream that states a limit counts
+/// calls of all kinds.
 enum class UpstreamCall { Request, Report, Order };
 
 inline constexpr NameTable<UpstreamCall, 3> kUpstreamCallNames{{
@@ -16,15 +16,16 @@
     {UpstreamCall::Order, "order"},
 }};
 
-/// What an upstream says of itself in the head of any answer.
+/// State that an upstream reports in the head of any response.
 struct UpstreamNotice {
-  /// Calls a second that it takes from all daemons together; none: it names no
-  /// limit.
+  /// Calls per second that it accepts from all daemons together; none: it
+  /// states no limit.
   std::optional<double> callsPerSecond;
-  /// It turns the call away and wants none from this daemon for so long; none:
-  /// it does not say so.
+  /// It rejected the call and accepts none from this daemon for this time;
+  /// none: not stated.
   std::optional<Micros> backoff;
-  /// It leaves: it finishes what it runs, and wants nothing new.
+  /// Whether it is leaving: it finishes the running requests and accepts no new
+  /// ones.
   bool isLeaving = false;
 };
 
--- a/Zincstep/Pool/UpstreamControl.h
+++ b/Zincstep/Pool/UpstreamControl.h
@@ -12,53 +12,55 @@
 
 namespace zincstep {
 
-/// A request that stands still at an upstream, and on whom it waits.
+/// A request that is stalled at an upstream, and the upstream that it waits
+/// for.
 struct StalledRequest {
   std::string requestId;
-  /// Address of the upstream that does not answer.
+  /// Address of the upstream that does not respond.
   std::string waitsFor;
 };
 
-/// What an upstream reports of itself; some hundred milliseconds old.
+/// Report of an upstream on its state; some hundred milliseconds old.
 struct UpstreamReport {
   LayerRange layers;
-  /// Whether an order is under way.
+  /// Whether an order is in progress.
   bool isBusy = false;
-  /// Orders that it has taken since its start.
+  /// Orders that it has accepted since its start.
   std::uint64_t sequence = 0;
-  /// Requests that run and that wait there.
+  /// Running and queued requests.
   int running = 0;
   int queued = 0;
-  /// Above 1 it is slower than its kind.
+  /// Time per step over the normal time of its kind.
   double slowdown = 1;
-  /// Memory for requests that is in use, and all of it, in tokens x layers.
+  /// Used and total memory for requests, in tokens x layers.
   double memoryUsed = 0;
   double memoryTotal = 0;
   std::vector<StalledRequest> stalled;
   UpstreamNotice notice;
 };
 
-/// What an upstream says to an order.
+/// Reply of an upstream to an order.
 enum class OrderStatus {
-  /// Begun, or holds already.
+  /// Started, or the upstream holds the layers already.
   Accepted,
-  /// Does not fit what it holds or has done.
+  /// The order does not match its layers or its order sequence.
   Refused,
-  /// It does not know the request that the order is about.
+  /// The upstream does not know the request.
   UnknownRequest,
 };
 
-/// An answer with the address that an upstream blames, if any.
+/// Reply to an order, with the address of the upstream that is at fault, if
+/// stated.
 struct OrderOutcome {
   OrderStatus status = OrderStatus::Refused;
   std::string atFault;
 };
 
-/// Calls to upstreams beside requests, on the loop's thread.
+/// Control calls to upstreams, on the loop's thread.
 ///
-/// Failures: `UpstreamUnreachable` where nothing was sent, else
-/// `DeadlineDuringRun` (no answer in time) or `ResponseIncomplete` (the
-/// connection broke): an order may have been taken, or may still be.
+/// Errors: `UpstreamUnreachable` if nothing was sent, else `DeadlineDuringRun`
+/// (no response in time) or `ResponseIncomplete` (the connection broke): the
+/// order may have been accepted, or may still be.
 class UpstreamControl {
  public:
   template <class T>
@@ -66,20 +68,21 @@
 
   virtual ~UpstreamControl() = default;
 
-  /// Finds out what becomes of a connection to its address, without a request:
-  /// plain services answer no reports.
+  /// Tests whether a connection to its address can be established, without
+  /// sending a request: plain services answer no reports.
   virtual void ProbeConnection(const UpstreamEntry& aUpstream, Micros aTimeout,
                                std::function<void(Reachability)> aDone) = 0;
-  /// Asks how an upstream is. Fails with `UpstreamEnded` where another
+  /// Requests an upstream's report. Fails with `UpstreamEnded` if another
   /// incarnation answers at its address.
   virtual void Report(const UpstreamEntry& aUpstream, Micros aTimeout,
                       Done<UpstreamReport> aDone) = 0;
-  /// Orders an upstream to hold `aLayers` if it has taken
-  /// `aExpectedSequence` orders: a late or repeated order does nothing.
+  /// Orders an upstream to hold `aLayers` if it has accepted
+  /// `aExpectedSequence` orders, so that a late or repeated order has no
+  /// effect.
   virtual void Place(const UpstreamEntry& aUpstream, LayerRange aLayers,
                      std::uint64_t aExpectedSequence, ReleaseMode aReleaseMode,
                      Done<OrderOutcome> aDone) = 0;
-  /// Orders a running request on to another chain with the same first hop.
+  /// Moves a running request to another chain with the same first hop.
   virtual void Reroute(const std::string& aRequestId, const PoolChain& aChain,
                        Done<OrderOutcome> aDone) = 0;
 };
--- a/Zincstep/Pool/UpstreamDirectory.cpp
+++ b/Zincstep/Pool/UpstreamDirectory.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Former incarnations that are remembered for an address: entries that were
-/// held up are of the last one or two.
-constexpr std::size_t kMostFormer = 8;
+/// Maximum former incarnations that are remembered per address: delayed entries
+/// are of the last one or two.
+constexpr std::size_t kMaxFormer = 8;
 
 }  // namespace
 
@@ -21,13 +21,13 @@
 void UpstreamDirectory::AddressUse::Retire(std::uint64_t aUpstream) {
   std::erase(this->former, aUpstream);
   this->former.push_back(aUpstream);
-  if (this->former.size() > kMostFormer) {
+  if (this->former.size() > kMaxFormer) {
     this->former.erase(this->former.begin());
   }
 }
 
-bool UpstreamDirectory::IsSucceeded(const LiveUpstream& aUpstream) {
-  AddressUse& use = this->uses[aUpstream.Entry().address];
+bool UpstreamDirectory::IsSuperseded(const LiveUpstream& aUpstream) {
+  AddressUse& use = this->addressUses[aUpstream.Entry().address];
   const std::uint64_t number = aUpstream.Number();
   if (std::find(use.former.begin(), use.former.end(), number) !=
       use.former.end()) {
@@ -37,7 +37,7 @@
   if (use.present == number || isListed) {
     return false;
   }
-  // Of two starts under one id the store's revision says which is newer.
+  // For two starts under one id the store's revision tells which is newer.
   const UpstreamEntry& entry = aUpstream.Entry();
   if (use.present != 0 && use.service == entry.service && use.id != entry.id) {
     use.Retire(use.present);
@@ -70,10 +70,11 @@
     }
     this->Remove(aEntry.id, aNow);
   }
-  const UpstreamPtr upstream = this->TakeBack(std::move(aEntry), aNow);
-  if (this->IsSucceeded(*upstream)) {
-    // What it wrote was held up: it stood in the list for 3.6 s, and of 170
-    // sends a second 60 to 75 were refused for it (one day with a cut).
+  const UpstreamPtr upstream = this->Reactivate(std::move(aEntry), aNow);
+  if (this->IsSuperseded(*upstream)) {
+    // A delayed write of an ended incarnation: it stayed in the list for 3.6 s,
+    // and of 170 sends per second 60 to 75 were refused for it (one day with a
+    // partition).
     upstream->SetEnded(aNow);
   }
   this->all.emplace(upstream->Entry().id, upstream);
@@ -84,17 +85,17 @@
   this->byService[upstream->Entry().service].push_back(upstream);
 }
 
-UpstreamPtr UpstreamDirectory::TakeBack(UpstreamEntry aEntry, Instant aNow) {
+UpstreamPtr UpstreamDirectory::Reactivate(UpstreamEntry aEntry, Instant aNow) {
   UpstreamPtr former = this->departed[aEntry.id].lock();
   this->departed.erase(aEntry.id);
-  const bool isSameStart =
+  const bool isSameIncarnation =
       former && former->Entry().Incarnation() == aEntry.Incarnation();
-  if (isSameStart && former->Entry().service == aEntry.service) {
+  if (isSameIncarnation && former->Entry().service == aEntry.service) {
     former->SetReregistered();
     former->SetEntry(std::move(aEntry), aNow);
     return former;
   }
-  if (former && !isSameStart) {
+  if (former && !isSameIncarnation) {
     former->SetEnded(aNow);
   }
   return std::make_shared<LiveUpstream>(std::move(aEntry));
@@ -109,12 +110,12 @@
   UpstreamPtr upstream = found->second;
   this->all.erase(found);
   this->byNumber.erase(upstream->Number());
-  this->Unlist(upstream);
+  this->RemoveFromLists(upstream);
   upstream->SetDeregistered(aNow);
-  if (const UpstreamPtr next = this->SuccessorOf(*upstream)) {
-    AddressUse& use = this->uses[upstream->Entry().address];
+  if (const UpstreamPtr successor = this->SuccessorOf(*upstream)) {
+    AddressUse& use = this->addressUses[upstream->Entry().address];
     use.Retire(upstream->Number());
-    use.SetPresent(*next);
+    use.SetPresent(*successor);
   }
   std::erase_if(this->departed,
                 [](const auto& aEntry) { return aEntry.second.expired(); });
@@ -122,14 +123,15 @@
   return upstream;
 }
 
-void UpstreamDirectory::Unlist(const UpstreamPtr& aUpstream) {
+void UpstreamDirectory::RemoveFromLists(const UpstreamPtr& aUpstream) {
   const auto listed = this->byService.find(aUpstream->Entry().service);
   if (listed != this->byService.end()) {
     std::erase(listed->second, aUpstream);
   }
-  const auto near = this->modelsByDomain.find(aUpstream->Entry().failureDomain);
-  if (near != this->modelsByDomain.end()) {
-    std::erase(near->second, aUpstream);
+  const auto inDomain =
+      this->modelsByDomain.find(aUpstream->Entry().failureDomain);
+  if (inDomain != this->modelsByDomain.end()) {
+    std::erase(inDomain->second, aUpstream);
   }
 }
 
--- a/Zincstep/Pool/UpstreamDirectory.h
+++ b/Zincstep/Pool/UpstreamDirectory.h
@@ -9,12 +9,12 @@
 
 namespace zincstep {
 
-/// All upstreams that are known, by their ids, each in its newest incarnation.
+/// All known upstreams by id, each in its latest incarnation.
 class UpstreamDirectory {
  public:
-  /// An entry is new or has changed.
+  /// Adds or updates an entry.
   void Put(UpstreamEntry aEntry, Instant aNow);
-  /// An entry is gone; gives the upstream, or null where it was unknown.
+  /// Removes an entry; returns the upstream, or null if it was unknown.
   UpstreamPtr Remove(const std::string& aId, Instant aNow);
 
   /// The upstream of that id, or null.
@@ -28,44 +28,45 @@
       const {
     return this->modelsByDomain;
   }
-  /// All of them.
+  /// All upstreams by id.
   const std::map<std::string, UpstreamPtr>& All() const { return this->all; }
-  /// Rises with each entry that comes, changes or goes.
+  /// Incremented whenever an entry is added, changed or removed.
   std::uint64_t Changes() const { return this->changes; }
 
  private:
-  void Unlist(const UpstreamPtr& aUpstream);
-  /// Notes who is at an address. True: this incarnation was there before, and
-  /// another one of its service has begun there since.
-  bool IsSucceeded(const LiveUpstream& aUpstream);
-  /// Another upstream of the same service at the same address, or null.
+  void RemoveFromLists(const UpstreamPtr& aUpstream);
+  /// Records the incarnation as the user of its address. Returns true if it
+  /// used the address before and another incarnation of its service has started
+  /// there since.
+  bool IsSuperseded(const LiveUpstream& aUpstream);
+  /// Returns another upstream of the same service at the same address, or null.
   UpstreamPtr SuccessorOf(const LiveUpstream& aUpstream) const;
-  /// The incarnation if it is off the list and still in use; else a new one,
-  /// and what was in use has ended.
-  UpstreamPtr TakeBack(UpstreamEntry aEntry, Instant aNow);
+  /// Returns the known object if this incarnation was removed and is still in
+  /// use; else a new one, and marks a former incarnation as ended.
+  UpstreamPtr Reactivate(UpstreamEntry aEntry, Instant aNow);
 
   std::uint64_t changes = 0;
   std::map<std::string, UpstreamPtr> all;
   std::unordered_map<std::uint64_t, UpstreamPtr> byNumber;
   std::map<std::string, std::vector<UpstreamPtr>> byService;
   std::map<std::string, std::vector<UpstreamPtr>> modelsByDomain;
-  /// Incarnations off the list that requests still run on, by their ids: one
-  /// that comes back is the same, so that no chain names it twice.
+  /// Removed incarnations by id that requests still run on: one that returns
+  /// keeps its object, so that no chain names it twice.
   std::map<std::string, std::weak_ptr<LiveUpstream>> departed;
 
-  /// Who was and who is at an address.
+  /// Present and former users of an address.
   struct AddressUse {
     std::uint64_t present = 0;
     std::string id;
     std::string service;
-    /// Incarnations that have ended, the latest last.
+    /// Incarnations that have ended, latest last.
     std::vector<std::uint64_t> former;
 
     void SetPresent(const LiveUpstream& aUpstream);
     void Retire(std::uint64_t aUpstream);
   };
-  /// By address; addresses are used again and again.
-  std::unordered_map<std::string, AddressUse> uses;
+  /// By address; addresses are reused.
+  std::unordered_map<std::string, AddressUse> addressUses;
 };
 
 }  // namespace zincstep
