--- a/UnitTests/CrashDetectorTest.cpp
+++ b/UnitTests/CrashDetectorTest.cpp
@@ -183,9 +183,9 @@
     watch.OnRunLost(kGuilty, upstream);
     control.FinishConnect(Reachability::Reached);
     watch.Tick();
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.reached.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.connected.size());
     this->Pass(kPause);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, control.reached.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, control.connected.size());
     control.FinishConnect(Reachability::Refused);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, found.size());
   }
@@ -213,10 +213,10 @@
 
   void Loss_UpstreamReports_Lives() {
     watch.OnRunLost(kGuilty, member);
-    CPPUNIT_ASSERT(control.reached.empty());
+    CPPUNIT_ASSERT(control.connected.empty());
     control.Answer(1);
     this->Pass(10s);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.asked.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.probed.size());
     CPPUNIT_ASSERT(found.empty() && !ledger.MayBlock());
   }
 
@@ -224,7 +224,7 @@
     watch.OnRunLost(kGuilty, member);
     control.FailReport(ErrorKind::UpstreamEnded);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, found.size());
-    CPPUNIT_ASSERT(control.reached.empty());
+    CPPUNIT_ASSERT(control.connected.empty());
   }
 
   // A proxy in front of one that has ended accepts, and closes on a request.
@@ -250,7 +250,7 @@
   void Loss_UpstreamThatTakesNoCall_IsNotAskedForAReport() {
     member->BackOffUntil(clock.Now() + 1s);
     watch.OnRunLost(kGuilty, member);
-    CPPUNIT_ASSERT(control.asked.empty());
+    CPPUNIT_ASSERT(control.probed.empty());
     control.FinishConnect(Reachability::Refused);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, found.size());
   }
@@ -293,7 +293,7 @@
     member->SetEnded(clock.Now());
     watch.OnRunLost(kGuilty, member);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, found.size());
-    CPPUNIT_ASSERT(control.asked.empty() && control.reached.empty());
+    CPPUNIT_ASSERT(control.probed.empty() && control.connected.empty());
   }
 
   void Answer_ToARequestSentAfterTheLoss_ShowsLife() {
--- a/UnitTests/DomainRecoveryMonitorTest.cpp
+++ b/UnitTests/DomainRecoveryMonitorTest.cpp
@@ -63,14 +63,14 @@
     Suspect("a", 6);
     Suspect("b", 1);
     Tick(100ms);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.asked.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.probed.size());
     clock.Advance(2ms);
     control.Answer(1);
     Tick(250ms);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Suspects());
     CPPUNIT_ASSERT(directory.Find("b0")->IsSuspect(clock.Now()));
     // All that were taken back are asked, as some may be dead.
-    CPPUNIT_ASSERT_EQUAL(std::size_t{6}, control.asked.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{6}, control.probed.size());
     clock.Advance(25ms);
     control.TimeOutReport();
     for (int i = 0; i < 4; ++i) {
@@ -86,7 +86,7 @@
     for (int i = 0; i < 4; ++i) {
       Tick(250ms);
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, control.asked.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, control.probed.size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{10}, Suspects());
   }
 
@@ -94,14 +94,14 @@
     Add("a", 20, "t4");
     Suspect("a", 4);
     Tick(100ms);
-    CPPUNIT_ASSERT(control.asked.empty());
+    CPPUNIT_ASSERT(control.probed.empty());
   }
 
   void Tick_PlainServices_AsksNobody() {
     Add("a", 8, "");
     Suspect("a", 8);
     Tick(100ms);
-    CPPUNIT_ASSERT(control.asked.empty());
+    CPPUNIT_ASSERT(control.probed.empty());
   }
 };
 
--- a/UnitTests/PlacementControllerTest.cpp
+++ b/UnitTests/PlacementControllerTest.cpp
@@ -145,7 +145,7 @@
     this->Put("i2", 0, 4);
     this->Run(1s);
     CPPUNIT_ASSERT(controller->IsLeader());
-    CPPUNIT_ASSERT_EQUAL(std::string("i1"), control.asked.at(0));
+    CPPUNIT_ASSERT_EQUAL(std::string("i1"), control.probed.at(0));
   }
 
   // actas-lima-grown trouble-3, second 40: entries that had lapsed in an outage
@@ -163,7 +163,7 @@
     this->Run(1750ms);
     this->Put("i4", 4, 8);
     this->Run(4s);
-    CPPUNIT_ASSERT(control.asked.empty());
+    CPPUNIT_ASSERT(control.probed.empty());
   }
 
   // The same day, second 37.3: the duty was taken 50 ms after an outage of the
@@ -175,23 +175,23 @@
     view.OnStoreReachable(true);
     this->Run(2s);
     CPPUNIT_ASSERT(controller->IsLeader());
-    CPPUNIT_ASSERT(control.asked.empty());
+    CPPUNIT_ASSERT(control.probed.empty());
     this->Put("i3", 4, 8);
     this->Run(4s);
-    CPPUNIT_ASSERT(control.asked.empty());
+    CPPUNIT_ASSERT(control.probed.empty());
   }
 
   void Duty_UpstreamThatRefuses_CountsAsHolder() {
     this->Put("i1", 0, 8);
     this->Put("i2", 0, 4);
     this->Run(1s);
-    control.asked.clear();
+    control.probed.clear();
     for (int i = 0; i < 3; ++i) {
       view.Directory().Find("i1")->OnRefusal(clock.Now());
     }
     CPPUNIT_ASSERT(view.Directory().Find("i1")->IsRefusing(clock.Now()));
     this->Run(1s);
-    CPPUNIT_ASSERT(control.asked.empty());
+    CPPUNIT_ASSERT(control.probed.empty());
   }
 
   // What was ordered of the former start is neither held nor being loaded.
@@ -203,8 +203,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.places.size());
     this->Put("i1", 0, 0, 2);
     this->Run(500ms);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, control.asked.size());
-    CPPUNIT_ASSERT_EQUAL(std::string("i1"), control.asked.at(1));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, control.probed.size());
+    CPPUNIT_ASSERT_EQUAL(std::string("i1"), control.probed.at(1));
   }
 
   // It came back for seconds behind who had begun at its address, and for each
@@ -215,15 +215,15 @@
     this->Put("i2", 0, 4, 1, "10.0.0.2:80");
     this->Put("i3", 4, 8, 1, "10.0.0.3:80");
     this->Run(2s);
-    CPPUNIT_ASSERT(control.asked.empty());
+    CPPUNIT_ASSERT(control.probed.empty());
     view.OnUpstreamEvents({{{{"i3", "", ++revision}, true}}, revision});
     this->Run(250ms);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.asked.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.probed.size());
     this->Put("i4", 0, 0, 1, "10.0.0.3:80");
     this->Put("i3", 4, 8, 1, "10.0.0.3:80");
     control.TimeOutReport();
     this->Run(500ms);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, control.asked.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, control.probed.size());
   }
 
   // With 333 upstreams in a domain a plan took seconds on the loop: the lease
@@ -235,7 +235,7 @@
     this->Run(20s);
     CPPUNIT_ASSERT(controller->IsLeader());
     CPPUNIT_ASSERT_EQUAL(1, plans.started);
-    CPPUNIT_ASSERT(control.asked.empty());
+    CPPUNIT_ASSERT(control.probed.empty());
   }
 
   void Duty_PlanOfAnEarlierPool_OrdersWhatIsStillAsItWas() {
@@ -248,7 +248,7 @@
     plans.LetGo();
     // The plan named the start before; the next one is made at once.
     CPPUNIT_ASSERT_EQUAL(2, plans.started);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.asked.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.probed.size());
   }
 
   void Duty_PlanThatEndsLate_OrdersNothing() {
@@ -257,10 +257,10 @@
     this->Put("i2", 0, 4);
     this->Run(3s);
     plans.LetGo();
-    CPPUNIT_ASSERT(control.asked.empty());
+    CPPUNIT_ASSERT(control.probed.empty());
     plans.holds = false;
     this->Run(250ms);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.asked.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.probed.size());
   }
 
   void Duty_NewsWhileAPlanIsMade_IsPlannedNext() {
@@ -273,7 +273,7 @@
     this->Run(250ms);
     plans.holds = false;
     plans.LetGo();
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.asked.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.probed.size());
   }
 
   // Each model's list was taken for the other's: all upstreams seemed to join
@@ -321,13 +321,13 @@
     CPPUNIT_ASSERT(controller->IsLeader());
     const int before = plans.started;
     plans.LetGo();
-    CPPUNIT_ASSERT(control.asked.empty());
+    CPPUNIT_ASSERT(control.probed.empty());
     CPPUNIT_ASSERT_EQUAL(before, plans.started);
   }
 
   bool WasAsked(const std::string& aId) const {
-    return std::find(control.asked.begin(), control.asked.end(), aId) !=
-           control.asked.end();
+    return std::find(control.probed.begin(), control.probed.end(), aId) !=
+           control.probed.end();
   }
 
   void Duty_ReportOfTheOldStart_OrdersNothing() {
--- a/UnitTests/PlacementOrdersTest.cpp
+++ b/UnitTests/PlacementOrdersTest.cpp
@@ -54,7 +54,7 @@
     CPPUNIT_ASSERT(this->Expected("i1") == kWanted);
     clock.Advance(model.loadTime + settings.orderSlack);
     CPPUNIT_ASSERT(this->Expected("i1") == kWanted);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, control.asked.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, control.probed.size());
   }
 
  public:
@@ -74,7 +74,7 @@
                            ReleaseMode::AbortRequests});
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t(settings.maxConcurrentCalls),
-                         control.asked.size());
+                         control.probed.size());
     clock.Advance(1min);
     CPPUNIT_ASSERT(this->Expected("i" + std::to_string(many - 1)) == kWanted);
     for (int i = 0; i < many; ++i) {
@@ -94,7 +94,7 @@
     isLeader = false;
     control.Answer(UpstreamReport{});
     CPPUNIT_ASSERT(control.places.empty());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.asked.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.probed.size());
     CPPUNIT_ASSERT(!this->Expected("i2"));
   }
 
--- a/UnitTests/UpstreamProberTest.cpp
+++ b/UnitTests/UpstreamProberTest.cpp
@@ -77,15 +77,15 @@
     probe.Ask(upstream);
     control.Answer(1);
     probe.Ask(upstream);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.asked.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.probed.size());
   }
 
   void Ask_AnsweringUpstream_IsAskedMoreAndMoreSeldom() {
     int asked = 0;
     for (int i = 0; i < 100; ++i) {
-      const std::size_t before = control.asked.size();
+      const std::size_t before = control.probed.size();
       probe.Ask(upstream);
-      if (control.asked.size() > before) {
+      if (control.probed.size() > before) {
         control.Answer(1);
         asked += 1;
       }
@@ -101,7 +101,7 @@
       probe.Ask(Make("many" + std::to_string(i)));
     }
     CPPUNIT_ASSERT_EQUAL(static_cast<std::size_t>(settings.maxBurst),
-                         control.asked.size());
+                         control.probed.size());
   }
 
   void Tick_SlowUpstream_IsAskedUntilItIsQuick() {
@@ -110,12 +110,12 @@
     CPPUNIT_ASSERT(upstream->IsSlow(clock.Now()));
     clock.Advance(1s);
     probe.Tick();
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, control.asked.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, control.probed.size());
     control.Answer(1);
     CPPUNIT_ASSERT(!upstream->IsSlow(clock.Now()));
     clock.Advance(1s);
     probe.Tick();
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, control.asked.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, control.probed.size());
   }
 
   void Pace_OutOfDate_IsOne() {
@@ -132,7 +132,7 @@
     probe.Ask(upstream);
     clock.Advance(settings.timeout + settings.latestTimeout + 1ms);
     control.TimeOutReport();
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.asked.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, control.probed.size());
     CPPUNIT_ASSERT(!upstream->IsSuspect(clock.Now()));
     CPPUNIT_ASSERT(suspicions.empty());
   }
@@ -146,7 +146,7 @@
     entry.id = "plain";
     const auto plain = std::make_shared<LiveUpstream>(entry);
     probe.Verify(plain);
-    CPPUNIT_ASSERT(control.asked.empty());
+    CPPUNIT_ASSERT(control.probed.empty());
     CPPUNIT_ASSERT(!plain->IsSuspect(clock.Now()));
   }
 
@@ -176,7 +176,7 @@
     control.FinishConnect(Reachability::Reached);
     CPPUNIT_ASSERT(upstream->IsSuspect(clock.Now()));
     CPPUNIT_ASSERT(upstream->LastResponseAt() == Instant{});
-    CPPUNIT_ASSERT(control.asked.empty());
+    CPPUNIT_ASSERT(control.probed.empty());
   }
 
   void Ask_AtRestAndAcceptsNoConnections_Suspects() {
