--- a/UnitTests/ServiceRequestTest.cpp
+++ b/UnitTests/ServiceRequestTest.cpp
@@ -42,6 +42,22 @@
                              std::move(aHeaders));
   }
 
+  /// Repeats an order until its key is no longer in progress: the caller has
+  /// its response before the witnesses have the end of the run.
+  HttpCallResult Repeat(const EntryDaemon& aDaemon, const std::string& aKey) {
+    HttpCallResult result;
+    CPPUNIT_ASSERT(LocalDomain::Eventually([&] {
+      result = this->Order(aDaemon, aKey);
+      const bool isInProgress =
+          result.body.find("key_in_progress") != std::string::npos;
+      if (isInProgress) {
+        CPPUNIT_ASSERT_EQUAL(std::string("may_have_run"), OutcomeOf(result));
+      }
+      return !isInProgress;
+    }));
+    return result;
+  }
+
   int RunsOf(const std::string& aKey) {
     return this->domain.Runs().value("POST /ledger/orders " + aKey, 0);
   }
@@ -55,8 +71,9 @@
 
   void Order_KeyRepeatedAtOtherDaemon_RunsOnce() {
     const auto one = this->Order(*this->first, "k1");
-    const auto two = this->Order(*this->second, "k1");
+    const auto two = this->Repeat(*this->second, "k1");
     CPPUNIT_ASSERT_EQUAL(200, one.status);
+    CPPUNIT_ASSERT_EQUAL(200, two.status);
     CPPUNIT_ASSERT_EQUAL(one.body, two.body);
     CPPUNIT_ASSERT_EQUAL(1, this->RunsOf("k1"));
   }
@@ -100,7 +117,7 @@
   void Order_DuringPlatformOutage_RunsOnce() {
     this->domain.PlatformFault(R"({"outage":true})");
     CPPUNIT_ASSERT_EQUAL(200, this->Order(*this->first, "k4").status);
-    CPPUNIT_ASSERT_EQUAL(200, this->Order(*this->second, "k4").status);
+    CPPUNIT_ASSERT_EQUAL(200, this->Repeat(*this->second, "k4").status);
     CPPUNIT_ASSERT_EQUAL(1, this->RunsOf("k4"));
   }
 
