--- a/FuzzTests/StreamStateTest.cpp
+++ b/FuzzTests/StreamStateTest.cpp
@@ -227,7 +227,7 @@
   bool answers = *rc::gen::arbitrary<bool>();
   void run(const StreamModel&, CheckedStream& aSut) const override {
     aSut.clock.Advance(Micros{1000 * this->millis});
-    StreamActions actions = aSut.machine->OnTime(aSut.clock.Now());
+    StreamActions actions = aSut.machine->OnTimer(aSut.clock.Now());
     const bool asked =
         std::any_of(actions.begin(), actions.end(), [](const auto& aOne) {
           return std::holds_alternative<ProbeStages>(aOne);
--- a/UnitTests/AdmissionTest.cpp
+++ b/UnitTests/AdmissionTest.cpp
@@ -121,7 +121,7 @@
     double sum = 0;
     for (std::size_t i = 0; i < limits.size(); ++i) {
       limits[i].SetPeers({"x", "y", "z"}, this->now);
-      limits[i].OnReport("x", {{OrganisationNumber("a"), 50}}, this->now);
+      limits[i].OnReport("x", {{OrganisationHash("a"), 50}}, this->now);
       (void)limits[i].Admit("a", 100, 10, this->now);
       sum += limits[i].Share("a", 100, this->now);
     }
--- a/UnitTests/CrashTrackerTest.cpp
+++ b/UnitTests/CrashTrackerTest.cpp
@@ -136,14 +136,14 @@
   void Block_NoMoreListed_Ends() {
     this->CrashThree(kGuilty);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, ledger.UnlistedCrashes(now).size());
-    ledger.SetListed({kGuilty}, now);
+    ledger.SetBlockList({kGuilty}, now);
     CPPUNIT_ASSERT(ledger.UnlistedCrashes(now).empty());
-    ledger.SetListed({}, now);
+    ledger.SetBlockList({}, now);
     CPPUNIT_ASSERT(!this->IsBlocked(kGuilty));
   }
 
   void Block_ListedOnly_Holds() {
-    ledger.SetListed({kGuilty}, now);
+    ledger.SetBlockList({kGuilty}, now);
     CPPUNIT_ASSERT(this->IsBlocked(kGuilty));
     CPPUNIT_ASSERT(ledger.Blocked(now).contains(kGuilty));
   }
@@ -171,7 +171,7 @@
     // Nobody is told, and nothing is written, of what is not known.
     CPPUNIT_ASSERT(ledger.Blocked(now).empty());
     CPPUNIT_ASSERT(!ledger.HasCrashes(kGuilty));
-    ledger.OnSettled({kGuilty, 2});
+    ledger.OnSuspicionResolved({kGuilty, 2});
     CPPUNIT_ASSERT(!this->IsBlocked(kGuilty));
   }
 
--- a/UnitTests/RelayTest.cpp
+++ b/UnitTests/RelayTest.cpp
@@ -165,7 +165,7 @@
         refill.expires_after(200ms);
         refill.async_wait([&](const asio::error_code&) {
           RetryBudget& budget = budgets.at("model");
-          budget.SetMaxSaved(10);
+          budget.SetCapacity(10);
           for (int request = 0; request < 100; ++request) {
             budget.OnRequest();
           }
--- a/Zincstep/Admission/CrashTracker.cpp
+++ b/Zincstep/Admission/CrashTracker.cpp
@@ -11,7 +11,7 @@
   }
 }
 
-void CrashTracker::OnSettled(const UpstreamCrash& aCrash) {
+void CrashTracker::OnSuspicionResolved(const UpstreamCrash& aCrash) {
   const auto found = this->suspected.find(aCrash.request);
   if (found == this->suspected.end()) {
     return;
@@ -56,8 +56,8 @@
          aNow - found->second < this->settings.answeredTime;
 }
 
-void CrashTracker::SetListed(const std::set<RequestFingerprint>& aRequests,
-                             Instant aNow) {
+void CrashTracker::SetBlockList(const std::set<RequestFingerprint>& aRequests,
+                                Instant aNow) {
   std::erase_if(this->records, [&](const auto& aEntry) {
     return aEntry.second.isListed && !aRequests.contains(aEntry.first);
   });
--- a/Zincstep/Admission/CrashTracker.h
+++ b/Zincstep/Admission/CrashTracker.h
@@ -72,7 +72,7 @@
   /// Requests with as many of these as block one are held back meanwhile.
   void OnSuspected(const UpstreamCrash& aCrash);
   /// It has been found out, or cannot be.
-  void OnSettled(const UpstreamCrash& aCrash);
+  void OnSuspicionResolved(const UpstreamCrash& aCrash);
   /// An upstream has ended under a request, as this daemon found or was told.
   CrashVerdict OnCrash(const UpstreamCrash& aCrash, Instant aNow);
   /// The request was answered whole here. True: it had been blamed.
@@ -83,7 +83,8 @@
   }
   /// All requests that are blocked by common knowledge. One that was and is no
   /// more has been answered elsewhere, or its time has passed.
-  void SetListed(const std::set<RequestFingerprint>& aRequests, Instant aNow);
+  void SetBlockList(const std::set<RequestFingerprint>& aRequests,
+                    Instant aNow);
 
   /// Whether no request is blamed.
   bool IsEmpty() const { return this->records.empty(); }
--- a/Zincstep/Admission/DomainLimit.cpp
+++ b/Zincstep/Admission/DomainLimit.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-std::uint32_t OrganisationNumber(const std::string& aName) {
+std::uint32_t OrganisationHash(const std::string& aName) {
   return static_cast<std::uint32_t>(Hash64(aName));
 }
 
@@ -65,7 +65,7 @@
   }
   const double own = this->DecayedDemand(this->buckets[aOrganisation], aNow);
   double all = own;
-  const std::uint32_t number = OrganisationNumber(aOrganisation);
+  const std::uint32_t number = OrganisationHash(aOrganisation);
   for (const auto& [name, peer] : this->peers) {
     const auto found = peer.demands.find(number);
     all += found == peer.demands.end() ? 0 : found->second;
@@ -123,7 +123,7 @@
   for (const auto& [name, bucket] : this->buckets) {
     const double demand = this->DecayedDemand(bucket, aNow);
     if (demand >= kLeastDemand) {
-      reports.push_back({OrganisationNumber(name), demand});
+      reports.push_back({OrganisationHash(name), demand});
     }
   }
   return reports;
--- a/Zincstep/Admission/DomainLimit.h
+++ b/Zincstep/Admission/DomainLimit.h
@@ -10,7 +10,7 @@
 
 /// One organisation's use at one daemon, as peers tell each other.
 struct UsageReport {
-  /// `OrganisationNumber` of its name: names would be most of the gossip.
+  /// `OrganisationHash` of its name: names would be most of the gossip.
   std::uint32_t organisation = 0;
   /// Tokens a second that callers have asked for there, served or not.
   double demand = 0;
@@ -20,7 +20,7 @@
 ///
 /// Two names with one number would have their demands added, which makes
 /// both shares smaller: an error to the safe side.
-std::uint32_t OrganisationNumber(const std::string& aName);
+std::uint32_t OrganisationHash(const std::string& aName);
 
 /// Settings of the limits that hold over a failure domain.
 struct DomainLimitSettings {
--- a/Zincstep/Admission/RetryBudget.cpp
+++ b/Zincstep/Admission/RetryBudget.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-double RetryShare(double aSlack, RetrySharer aSharer) {
+double RetryShare(double aSlack, RetryParticipant aSharer) {
   const double used = aSlack * kSlackUsed;
   const auto daemons =
       static_cast<double>(std::max(aSharer.daemons, kFewestDaemons));
@@ -40,7 +40,7 @@
   return true;
 }
 
-void RetryBudget::SetMaxSaved(double aMost) {
+void RetryBudget::SetCapacity(double aMost) {
   this->settings.most = aMost;
   this->saved = std::min(this->saved, aMost);
 }
--- a/Zincstep/Admission/RetryBudget.h
+++ b/Zincstep/Admission/RetryBudget.h
@@ -15,7 +15,7 @@
 };
 
 /// One of several daemons that divide a bound on retries among them.
-struct RetrySharer {
+struct RetryParticipant {
   /// How many there are.
   std::size_t daemons = 1;
   /// How many come before this one, in an order that all of them agree on.
@@ -26,7 +26,7 @@
 ///
 /// Where there are more daemons than retries a part of one would be none: the
 /// first of them have a whole one.
-double RetryShare(double aSlack, RetrySharer aSharer);
+double RetryShare(double aSlack, RetryParticipant aSharer);
 
 /// Bounds retries to a share of first tries, whatever goes wrong.
 ///
@@ -46,7 +46,7 @@
   bool TryAcquireRetry(double aKept = 0);
   /// Sets how many retries may be saved up, as a share of a common bound
   /// changes with the number of those who share it.
-  void SetMaxSaved(double aMost);
+  void SetCapacity(double aMost);
   /// Retries that are saved up now.
   double Saved() const { return this->saved; }
   /// Pause before retry number `aRetry`, from 1: full jitter.
--- a/Zincstep/Edge/BlockList.cpp
+++ b/Zincstep/Edge/BlockList.cpp
@@ -79,7 +79,7 @@
   std::set<RequestFingerprint> blocked = std::move(this->listedBeforeRestore);
   this->listedBeforeRestore.clear();
   blocked.insert(requests->begin(), requests->end());
-  this->crashes.SetListed(blocked, this->clock.Now());
+  this->crashes.SetBlockList(blocked, this->clock.Now());
 }
 
 void BlockList::OnRestored() {
@@ -113,7 +113,7 @@
       this->revision = aResult->revision;
       this->listed = blocked;
       this->nextAttempt = {};
-      this->crashes.SetListed(blocked, this->clock.Now());
+      this->crashes.SetBlockList(blocked, this->clock.Now());
       LogInfo("block_list_written", {{"revision", aResult->revision.number},
                                      {"requests", blocked.size()}});
     } else if (aResult && aResult->present) {
--- a/Zincstep/Edge/EdgeDaemon.cpp
+++ b/Zincstep/Edge/EdgeDaemon.cpp
@@ -216,7 +216,7 @@
   CrashTracker crashes{CrashTrackerSettings{}};
   CrashDetector crashDetector;
   BlockList blockList;
-  RetrySharer retrySharer;
+  RetryParticipant retryParticipant;
   /// `PeerMembers::Changes` as of the last update of `limits` and
   /// `retrySharer`.
   std::uint64_t lastMemberChanges = 0;
@@ -296,10 +296,10 @@
   std::map<std::string, std::string> domains;
   // Ordered by hash: the first ones by name may all be in one failure domain.
   const std::uint64_t ownHash = Hash64(this->settings.name);
-  this->retrySharer = {this->peers.DaemonCount(), 0};
+  this->retryParticipant = {this->peers.DaemonCount(), 0};
   for (const auto& [name, member] : this->peers.Members().All()) {
     domains[name] = member.failureDomain;
-    this->retrySharer.place += Hash64(name) < ownHash ? 1 : 0;
+    this->retryParticipant.place += Hash64(name) < ownHash ? 1 : 0;
   }
   this->limits.SetDaemons(std::move(domains));
 }
@@ -473,9 +473,9 @@
   this->UpdateBlockList();
   this->bufferedMemory.Tick(this->BufferedBytes());
   this->relaySettings.retries.most =
-      RetryShare(this->settings.retrySlack, this->retrySharer);
+      RetryShare(this->settings.retrySlack, this->retryParticipant);
   for (auto& [service, budget] : this->budgets) {
-    budget.SetMaxSaved(this->relaySettings.retries.most);
+    budget.SetCapacity(this->relaySettings.retries.most);
   }
   this->periodicTimer.expires_after(kPeriodicTick);
   this->periodicTimer.async_wait([this](const asio::error_code& aError) {
--- a/Zincstep/Engine/EngineClient.h
+++ b/Zincstep/Engine/EngineClient.h
@@ -85,8 +85,8 @@
   virtual void Probe(std::uint64_t aRequest, int aAttempt,
                      const std::vector<std::string>& aAddresses) = 0;
   /// Asks an engine for its load.
-  virtual void AskLoad(const std::string& aUpstream,
-                       const std::string& aAddress) = 0;
+  virtual void QueryLoad(const std::string& aUpstream,
+                         const std::string& aAddress) = 0;
 };
 
 /// A client that gives the first stage the route and sees only tokens.
--- a/Zincstep/Engine/ForwardingEngineClient.cpp
+++ b/Zincstep/Engine/ForwardingEngineClient.cpp
@@ -99,8 +99,8 @@
     }
   }
 
-  void AskLoad(const std::string& aUpstream,
-               const std::string& aAddress) override {
+  void QueryLoad(const std::string& aUpstream,
+                 const std::string& aAddress) override {
     HttpCall call;
     call.url = "http://" + aAddress + "/v1/load";
     call.timeout = kShortCall;
--- a/Zincstep/Entry/ModelHandler.cpp
+++ b/Zincstep/Entry/ModelHandler.cpp
@@ -150,7 +150,7 @@
       this->Emit(aRequest, *emit);
     } else if (const auto* probe = std::get_if<ProbeStages>(&action)) {
       this->ProbeStagesOf(aRequest, *probe);
-    } else if (const auto* blame = std::get_if<BlameReplica>(&action)) {
+    } else if (const auto* blame = std::get_if<ReportHopFailure>(&action)) {
       aRequest.planner->Loads().OnFailure(blame->replica,
                                           this->context.clock.Now());
       this->context.metrics.Count(
@@ -450,7 +450,7 @@
   }
   for (const auto& [id, request] : this->requests) {
     if (!request->isOver && request->machine) {
-      this->Carry(*request, request->machine->OnTime(aNow));
+      this->Carry(*request, request->machine->OnTimer(aNow));
     }
   }
   for (const std::uint64_t id : this->over) {
--- a/Zincstep/Entry/PeerHandler.cpp
+++ b/Zincstep/Entry/PeerHandler.cpp
@@ -244,7 +244,7 @@
     if (known != this->ownLoads.end()) {
       kept.insert(*known);
     }
-    this->context.engines.AskLoad(name, address);
+    this->context.engines.QueryLoad(name, address);
   }
   this->ownLoads = std::move(kept);
 }
--- a/Zincstep/Relay/CrashDetector.cpp
+++ b/Zincstep/Relay/CrashDetector.cpp
@@ -212,7 +212,8 @@
                    {"asked_ms", (this->clock.Now() - aRuns.front().at) / 1ms},
                    {"requests", aRuns.size()}});
   for (const LostRun& run : aRuns) {
-    this->ledger.OnSettled({run.request, aQuestion.upstream->Number()});
+    this->ledger.OnSuspicionResolved(
+        {run.request, aQuestion.upstream->Number()});
   }
 }
 
@@ -221,7 +222,7 @@
   std::vector<UpstreamCrash> crashes;
   for (const LostRun& run : aQuestion.runs) {
     const UpstreamCrash crash{run.request, upstream->Number()};
-    this->ledger.OnSettled(crash);
+    this->ledger.OnSuspicionResolved(crash);
     const bool isInnocent =
         this->Take(crash, Provenance::Observed) == CrashVerdict::Ignored;
     LogInfo("upstream_ended_under",
--- a/Zincstep/Sequence/StreamMachine.cpp
+++ b/Zincstep/Sequence/StreamMachine.cpp
@@ -124,7 +124,7 @@
   return failed;
 }
 
-StreamActions StreamMachine::OnTime(Instant aNow) {
+StreamActions StreamMachine::OnTimer(Instant aNow) {
   StreamActions actions;
   if (this->phase == Phase::Over || this->phase == Phase::Idle) {
     return actions;
@@ -202,7 +202,7 @@
     const int replica = this->chain.hops[i].replica;
     this->former.push_back(replica);
     if (aFailed[i] && aFailure != HopFailure::CacheLost) {
-      aActions.push_back(BlameReplica{replica, aFailure});
+      aActions.push_back(ReportHopFailure{replica, aFailure});
     }
   }
 }
@@ -273,7 +273,7 @@
       FailStream{Error{aKind, aMessage, {}}, this->ledger.NextPosition()});
 }
 
-Instant StreamMachine::NextTime(Instant aNow) const {
+Instant StreamMachine::NextTimer(Instant aNow) const {
   Instant next = this->phase == Phase::WaitingForChain
                      ? this->tryAgainAt
                      : this->monitor.NextCheck(aNow);
--- a/Zincstep/Sequence/StreamMachine.h
+++ b/Zincstep/Sequence/StreamMachine.h
@@ -67,7 +67,7 @@
 };
 
 /// Tells the daemon that an upstream did badly in this stream.
-struct BlameReplica {
+struct ReportHopFailure {
   int replica = 0;
   HopFailure failure = HopFailure::Dead;
 };
@@ -87,7 +87,7 @@
 
 using StreamAction =
     std::variant<StartAttempt, AbandonAttempt, ReleaseStages, EmitToken,
-                 ProbeStages, BlameReplica, FinishStream, FailStream>;
+                 ProbeStages, ReportHopFailure, FinishStream, FailStream>;
 using StreamActions = std::vector<StreamAction>;
 
 /// Gives a stream other chains when one has failed.
@@ -149,13 +149,13 @@
   StreamActions OnProgress(int aAttempt,
                            const std::vector<StageProgress>& aProgress);
   /// Time has passed.
-  StreamActions OnTime(Instant aNow);
+  StreamActions OnTimer(Instant aNow);
   /// The caller has gone: the work ends on every stage.
   StreamActions OnCallerDisconnected();
 
   bool IsOver() const { return this->phase == Phase::Over; }
-  /// When `OnTime` is next of use.
-  Instant NextTime(Instant aNow) const;
+  /// When `OnTimer` is next of use.
+  Instant NextTimer(Instant aNow) const;
   const StepFilter& Ledger() const { return this->ledger; }
   const Chain& CurrentChain() const { return this->chain; }
   /// Tokens of the answer so far.
