--- a/FuzzTests/ClaimStateTest.cpp
+++ b/FuzzTests/ClaimStateTest.cpp
@@ -108,7 +108,7 @@
     round.key = claim.key;
     round.claim = std::make_unique<ClaimRound>(claim, daemon.lists,
                                                this->clock.Now() + kVoteTime);
-    for (const std::string& member : round.claim->Asked()) {
+    for (const std::string& member : round.claim->PendingWitnesses()) {
       this->flights.push_back({Flight::Kind::Ask,
                                daemon.member.name,
                                member,
@@ -138,7 +138,7 @@
       case Flight::Kind::Ask: {
         ClaimVote vote{ClaimVote::Kind::StaleMembers, {}};
         if (flight.epoch >= to->lists.Epoch()) {
-          vote = to->table.Ask(flight.claim, this->clock.Now());
+          vote = to->table.Vote(flight.claim, this->clock.Now());
         }
         this->flights.push_back({Flight::Kind::Vote, flight.to, flight.from,
                                  flight.round, 0, flight.claim, vote});
@@ -214,7 +214,7 @@
       return;
     }
     round.isEnded = true;
-    for (const std::string& member : round.claim->Asked()) {
+    for (const std::string& member : round.claim->PendingWitnesses()) {
       this->Send(Flight::Kind::Finish, round, member);
     }
     Claim claim = round.claim->GetClaim();
@@ -253,7 +253,7 @@
           other.member.name != daemon.member.name &&
           other.member.failureDomain == daemon.member.failureDomain;
       if (!daemon.isDown && takes) {
-        other.table.Adopt(daemon.table.Close(), this->clock.Now());
+        other.table.Merge(daemon.table.Close(), this->clock.Now());
         this->handedTo[daemon.member.name] = other.member.name;
         daemon.isDown = true;
         this->gone.push_back(daemon.member.name);
--- a/PerformanceTests/AdmissionBench.cpp
+++ b/PerformanceTests/AdmissionBench.cpp
@@ -102,7 +102,7 @@
       return;
     }
     request.startBy = this->now + kDeadline;
-    if (!this->queue.Offer(request, kCapacity, this->now)) {
+    if (!this->queue.Enqueue(request, kCapacity, this->now)) {
       this->waiting.erase(id);
       this->served[aSource.name].refused += 1;
     }
@@ -127,7 +127,7 @@
           return;
         }
         id = next->id;
-        this->queue.Take(id);
+        this->queue.Dequeue(id);
       }
       this->Start(id);
     }
@@ -318,7 +318,7 @@
       if (!budgeted) {
         tries.push(at + 0.1);
       } else if (budget.TryAcquireRetry()) {
-        tries.push(at + ToSeconds(budget.Pause(1, random)));
+        tries.push(at + ToSeconds(budget.Backoff(1, random)));
       }
     }
     const std::string name = budgeted ? "zincstep" : "retry_always";
--- a/PerformanceTests/MemoryBench.cpp
+++ b/PerformanceTests/MemoryBench.cpp
@@ -33,7 +33,7 @@
       Claim claim;
       claim.key = key + std::to_string(100000 + i);
       claim.claimant = {"entry-a1/0123456789ab", std::uint64_t(i)};
-      (void)table.Ask(claim, Instant{1s});
+      (void)table.Vote(claim, Instant{1s});
     }
     Print("memory.key." + std::to_string(keys), (HeapBytes() - before) / keys,
           "bytes a key");
--- a/UnitTests/BlockListTest.cpp
+++ b/UnitTests/BlockListTest.cpp
@@ -112,7 +112,7 @@
     other.Block(kRequest);
     leader.list.Write();
     other.list.OnEntries(store.Items());
-    leader.crashes.OnAnswered(kRequest, clock.Now());
+    leader.crashes.OnCompleted(kRequest, clock.Now());
     leader.list.Write();
     other.list.OnEntries(store.Items());
     CPPUNIT_ASSERT(!other.Blocks(kRequest));
--- a/UnitTests/CrashingRequestTest.cpp
+++ b/UnitTests/CrashingRequestTest.cpp
@@ -144,7 +144,7 @@
 
   void Stream_LostBesideOneThatCrashes_IsServedEachTime() {
     this->AddUpstreams("model");
-    settings.retries.most = 100;
+    settings.retries.capacity = 100;
     for (int i = 0; i < kMostCrashes; ++i) {
       holdsNext = true;
       std::optional<Result<HttpResponse>> answer;
--- a/UnitTests/EarlyRequestTest.cpp
+++ b/UnitTests/EarlyRequestTest.cpp
@@ -91,7 +91,7 @@
   void Service_DeadAddresses_CostNoRetry() {
     this->Configure(kRelayConfig);
     RetryBudgetSettings spent;
-    spent.most = 0.5;
+    spent.capacity = 0.5;
     budgets.emplace("plain", spent);
     for (int i = 0; i < settings.maxSends - 1; ++i) {
       this->List("plain", "127.0.0.1:" + std::to_string(1 + i));
--- a/UnitTests/RelayTest.cpp
+++ b/UnitTests/RelayTest.cpp
@@ -148,7 +148,7 @@
   // cut at once where the retry budget was spent.
   void Stream_BrokenWithoutBudget_WaitsForIt() {
     RetryBudgetSettings spent;
-    spent.most = 0.5;
+    spent.capacity = 0.5;
     budgets.emplace("model", spent);
     int runs = 0;
     asio::steady_timer refill(loop);
--- a/UnitTests/UpstreamRestTest.cpp
+++ b/UnitTests/UpstreamRestTest.cpp
@@ -50,7 +50,7 @@
   void CheckRequests(const std::string& aService, const std::string& aPath) {
     const ScriptedUpstream& tired = this->AddTired(aService);
     this->AddSound(aService);
-    settings.retries.most = kRequests;
+    settings.retries.capacity = kRequests;
     for (int i = 0; i < kRequests; ++i) {
       CPPUNIT_ASSERT_EQUAL(200, this->Ask(this->Attempt(aPath))->status);
     }
@@ -150,7 +150,7 @@
           const auto& all = view.Directory().OfService("model");
           limits.OnNotice(all.front(), {{}, 8s}, clock.Now());
         });
-    settings.retries.most = 10;
+    settings.retries.capacity = 10;
     std::optional<Result<HttpResponse>> answer;
     FetchResponse(
         loop, {asio::ip::address_v4::loopback(), this->listener->Port()},
--- a/Zincstep/Edge/EdgeDaemon.cpp
+++ b/Zincstep/Edge/EdgeDaemon.cpp
@@ -46,7 +46,7 @@
   settings.maxValidationAge = aSettings.keyRevocation - kRevocationMargin;
   settings.failsClosed = aSettings.failsClosed;
   settings.retries.perRequest = aSettings.retryRatio * kRetryRatioUsed;
-  settings.retries.most = RetryShare(aSettings.retrySlack, {});
+  settings.retries.capacity = RetryShare(aSettings.retrySlack, {});
   return settings;
 }
 
@@ -299,7 +299,7 @@
   this->retryParticipant = {this->peers.DaemonCount(), 0};
   for (const auto& [name, member] : this->peers.Members().All()) {
     domains[name] = member.failureDomain;
-    this->retryParticipant.place += Hash64(name) < ownHash ? 1 : 0;
+    this->retryParticipant.rank += Hash64(name) < ownHash ? 1 : 0;
   }
   this->limits.SetDaemons(std::move(domains));
 }
@@ -472,10 +472,10 @@
   this->peers.Tick();
   this->UpdateBlockList();
   this->bufferedMemory.Tick(this->BufferedBytes());
-  this->relaySettings.retries.most =
+  this->relaySettings.retries.capacity =
       RetryShare(this->settings.retrySlack, this->retryParticipant);
   for (auto& [service, budget] : this->budgets) {
-    budget.SetCapacity(this->relaySettings.retries.most);
+    budget.SetCapacity(this->relaySettings.retries.capacity);
   }
   this->periodicTimer.expires_after(kPeriodicTick);
   this->periodicTimer.async_wait([this](const asio::error_code& aError) {
--- a/Zincstep/Entry/ClaimCoordinator.cpp
+++ b/Zincstep/Entry/ClaimCoordinator.cpp
@@ -36,7 +36,7 @@
   round.claim = std::make_unique<ClaimRound>(
       claim, this->context.members, this->context.clock.Now() + kVoteTime);
   round.listener = &aListener;
-  const std::vector<std::string> members = round.claim->Asked();
+  const std::vector<std::string> members = round.claim->PendingWitnesses();
   if (members.empty()) {
     this->OnVerdict(aRequest, round.claim->OnTimeout());
     return;
@@ -71,7 +71,7 @@
   }
   const auto found = this->rounds.find(aRound);
   if (aStep == ClaimOrderMessage::Step::Ask && found != this->rounds.end()) {
-    this->OnVerdict(aRound, found->second.claim->OnLost(aMember));
+    this->OnVerdict(aRound, found->second.claim->OnUnreachable(aMember));
   }
 }
 
@@ -81,7 +81,7 @@
   const Instant now = this->context.clock.Now();
   switch (aStep) {
     case ClaimOrderMessage::Step::Ask: {
-      const ClaimVote vote = this->witness.Ask(aClaim, now);
+      const ClaimVote vote = this->witness.Vote(aClaim, now);
       this->OnVote(this->context.member, "", ClaimVoteMessage{aRound, vote});
       break;
     }
@@ -107,7 +107,7 @@
   }
   ClaimVote vote{ClaimVote::Kind::StaleMembers, {}};
   if (aOrder.epoch >= this->context.members.Epoch()) {
-    vote = this->witness.Ask(aOrder.claim, now);
+    vote = this->witness.Vote(aOrder.claim, now);
   }
   this->context.Send(aReplyTo, ClaimVoteMessage{aOrder.round, vote});
 }
@@ -152,7 +152,7 @@
   this->context.metrics.Count(
       "zincstep_claims_total",
       {{"verdict", std::to_string(static_cast<int>(*aVerdict))}});
-  round.listener->OnClaim(aRequest, *aVerdict, round.claim->Holder());
+  round.listener->OnClaim(aRequest, *aVerdict, round.claim->Owner());
 }
 
 std::vector<std::string> ClaimCoordinator::WitnessMembers(
@@ -188,11 +188,11 @@
   this->won.erase(found);
   claim.state = aAnswer == nullptr ? ClaimState::Unknown : ClaimState::Finished;
   if (aAnswer != nullptr) {
-    claim.answer = *aAnswer;
+    claim.response = *aAnswer;
   }
-  if (claim.answer.body.size() > kMaxCachedResponseBytes) {
-    claim.answer.body.clear();
-    claim.answer.isTruncated = true;
+  if (claim.response.body.size() > kMaxCachedResponseBytes) {
+    claim.response.body.clear();
+    claim.response.isTruncated = true;
   }
   for (const std::string& member : this->WitnessMembers(claim.key)) {
     this->SendStep(claim, member, ClaimOrderMessage::Step::Finish, aRequest);
@@ -232,7 +232,7 @@
   if (this->witness.IsClosed()) {
     return;
   }
-  this->witness.Adopt(aMessage.claims, this->context.clock.Now());
+  this->witness.Merge(aMessage.claims, this->context.clock.Now());
   this->context.Send(aReplyTo, HandOverDoneMessage{aMessage.from});
 }
 
--- a/Zincstep/Entry/ClaimResponse.cpp
+++ b/Zincstep/Entry/ClaimResponse.cpp
@@ -39,16 +39,17 @@
                         std::uint64_t aDigest) {
   const bool repeats = aVerdict == ClaimVerdict::HeldByOther &&
                        aHolder.state == ClaimState::Finished &&
-                       aHolder.digest == aDigest && !aHolder.answer.isTruncated;
+                       aHolder.digest == aDigest &&
+                       !aHolder.response.isTruncated;
   if (!repeats) {
     aContext.Refuse(aExchange, RefusalOf(aVerdict, aHolder, aDigest));
     return;
   }
   HttpResponse answer;
-  answer.status = aHolder.answer.status;
-  answer.headers = {{"Content-Type", aHolder.answer.contentType},
+  answer.status = aHolder.response.status;
+  answer.headers = {{"Content-Type", aHolder.response.contentType},
                     {"zincstep-repeated", "true"}};
-  answer.body = aHolder.answer.body;
+  answer.body = aHolder.response.body;
   aContext.metrics.Count("zincstep_repeats_answered_total");
   aContext.callers.Respond(aExchange, std::move(answer));
 }
--- a/Zincstep/Entry/ModelAdmission.cpp
+++ b/Zincstep/Entry/ModelAdmission.cpp
@@ -131,7 +131,7 @@
   queued.tokens = aRequest.promptTokens + aRequest.maxTokens;
   queued.startBy = aRequest.facts.deadline;
   const double rate = this->pool.OwnTokenRate(aRequest.model->name);
-  const Result<void> joined = queue.Offer(std::move(queued), rate, now);
+  const Result<void> joined = queue.Enqueue(std::move(queued), rate, now);
   if (!joined) {
     this->RefuseWaiting(aRequest, joined.error());
     return;
@@ -202,7 +202,7 @@
     if (!this->TryStart(*request) && !request->isOver) {
       break;
     }
-    aQueue.Take(next->id);
+    aQueue.Dequeue(next->id);
   }
 }
 
--- a/Zincstep/Entry/ModelHandler.cpp
+++ b/Zincstep/Entry/ModelHandler.cpp
@@ -125,7 +125,7 @@
 }
 
 void ModelHandler::EndCharge(Request& aRequest) {
-  const double tokens = aRequest.machine->Ledger().NextPosition();
+  const double tokens = aRequest.machine->Filter().NextPosition();
   this->QueueOf(aRequest).OnEnd(aRequest.facts.organisation->name,
                                 aRequest.ExpectedCharge(),
                                 {aRequest.promptTokens, tokens});
@@ -263,7 +263,7 @@
 }
 
 void ModelHandler::Finish(Request& aRequest, const FinishStream& aAction) {
-  const int tokens = aRequest.machine->Ledger().NextPosition();
+  const int tokens = aRequest.machine->Filter().NextPosition();
   const std::string whole =
       WholeAnswerText(aRequest.head, aRequest.text, aAction.reason,
                       aRequest.countedPrompt, tokens);
@@ -301,7 +301,7 @@
   if (!may) {
     return false;
   }
-  aRequest.nextAttempt = aRequest.machine->Ledger().Attempt() + 1;
+  aRequest.nextAttempt = aRequest.machine->Filter().Attempt() + 1;
   this->LeaveChain(aRequest);
   this->EndCharge(aRequest);
   aRequest.machine.reset();
@@ -352,7 +352,7 @@
   aRequest.span.attributes["model"] = aRequest.asked.model;
   if (aRequest.machine) {
     aRequest.span.attributes["tokens"] =
-        aRequest.machine->Ledger().NextPosition();
+        aRequest.machine->Filter().NextPosition();
     aRequest.span.attributes["recoveries"] = aRequest.machine->Recoveries();
   }
   this->context.tracer.End(aRequest.span);
@@ -398,11 +398,11 @@
   if (aEvent.promptTokens > 0) {
     request->countedPrompt = aEvent.promptTokens;
   }
-  const StepCounts before = request->machine->Ledger().Counts();
+  const StepCounts before = request->machine->Filter().Counts();
   const Chain chain = request->machine->CurrentChain();
   const StreamActions actions =
       request->machine->OnToken(aEvent, this->context.clock.Now());
-  const StepCounts& after = request->machine->Ledger().Counts();
+  const StepCounts& after = request->machine->Filter().Counts();
   for (std::size_t i = 0; i < after.size(); ++i) {
     if (after[i] == before[i]) {
       continue;
--- a/Zincstep/Entry/ServiceHandler.cpp
+++ b/Zincstep/Entry/ServiceHandler.cpp
@@ -336,7 +336,8 @@
       !this->budget.TryAcquireRetry()) {
     return false;
   }
-  const Micros pause = this->budget.Pause(aRequest.tries, this->context.random);
+  const Micros pause =
+      this->budget.Backoff(aRequest.tries, this->context.random);
   this->pauses[aRequest.id] = this->context.clock.Now() + pause;
   this->context.metrics.Count("zincstep_service_retries_total");
   return true;
--- a/Zincstep/Peer/PeerMessage.cpp
+++ b/Zincstep/Peer/PeerMessage.cpp
@@ -108,9 +108,9 @@
     return wire::CreateClaimDirect(
         this->builder, aClaim.key.c_str(), aClaim.digest,
         aClaim.claimant.member.c_str(), aClaim.claimant.request,
-        static_cast<std::uint8_t>(aClaim.state), aClaim.answer.status,
-        aClaim.answer.contentType.c_str(), aClaim.answer.body.c_str(),
-        aClaim.answer.isTruncated);
+        static_cast<std::uint8_t>(aClaim.state), aClaim.response.status,
+        aClaim.response.contentType.c_str(), aClaim.response.body.c_str(),
+        aClaim.response.isTruncated);
   }
 
   Builder& builder;
@@ -128,10 +128,10 @@
   claim.state = aClaim->state() < kClaimStateNames.size()
                     ? static_cast<ClaimState>(aClaim->state())
                     : ClaimState::Unknown;
-  claim.answer.status = aClaim->status();
-  claim.answer.contentType = TextOf(aClaim->content_type());
-  claim.answer.body = TextOf(aClaim->body());
-  claim.answer.isTruncated = aClaim->truncated();
+  claim.response.status = aClaim->status();
+  claim.response.contentType = TextOf(aClaim->content_type());
+  claim.response.body = TextOf(aClaim->body());
+  claim.response.isTruncated = aClaim->truncated();
   return claim;
 }
 
--- a/Zincstep/Relay/CrashDetector.cpp
+++ b/Zincstep/Relay/CrashDetector.cpp
@@ -273,7 +273,7 @@
 }
 
 void CrashDetector::OnAnswered(RequestFingerprint aRequest) {
-  if (!this->ledger.OnAnswered(aRequest, this->clock.Now())) {
+  if (!this->ledger.OnCompleted(aRequest, this->clock.Now())) {
     return;
   }
   this->blamedHere.erase(aRequest);
--- a/Zincstep/Relay/Exchange.cpp
+++ b/Zincstep/Relay/Exchange.cpp
@@ -261,9 +261,10 @@
   if (!isTaken && !this->wasRetryDenied) {
     this->wasRetryDenied = true;
     this->context.metrics.Count("zincstep_retries_denied_total");
-    LogInfo("retry_denied", {{"request", this->request.facts.id},
-                             {"saved", budget.Saved()},
-                             {"most", this->context.settings.retries.most}});
+    LogInfo("retry_denied",
+            {{"request", this->request.facts.id},
+             {"saved", budget.Available()},
+             {"most", this->context.settings.retries.capacity}});
   }
   return isTaken;
 }
