--- a/UnitTests/AdmissionTest.cpp
+++ b/UnitTests/AdmissionTest.cpp
@@ -7,16 +7,16 @@
 
 class AdmissionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AdmissionTest);
-  CPPUNIT_TEST(Offer_TurnTooFar_IsRefusedWithATime);
-  CPPUNIT_TEST(Peek_TwoOrganisations_ServesTheLessServed);
-  CPPUNIT_TEST(Peek_HighPriority_GoesFirstButNotAlone);
-  CPPUNIT_TEST(Shed_Any_TakesTheLowestPriority);
-  CPPUNIT_TEST(Open_AfterIdling_HasSavedUpNothing);
-  CPPUNIT_TEST(Expired_Request_IsGivenBackOnce);
-  CPPUNIT_TEST(Limit_SilentPeer_FallsBackToEqualShare);
-  CPPUNIT_TEST(Limit_CutInTwo_SumStaysWithin);
+  CPPUNIT_TEST(Enqueue_WaitTooLong_IsRefusedWithRetryAfter);
+  CPPUNIT_TEST(Peek_TwoOrganisations_ReturnsLowestCounter);
+  CPPUNIT_TEST(Peek_HighPriority_DoesNotStarveLow);
+  CPPUNIT_TEST(Shed_SeveralPriorities_RemovesLowestFirst);
+  CPPUNIT_TEST(Counter_AfterIdleTime_EarnsNoCredit);
+  CPPUNIT_TEST(PopExpired_ExpiredRequest_IsReturnedOnce);
+  CPPUNIT_TEST(Limit_PeerTimeout_FallsBackToEqualShare);
+  CPPUNIT_TEST(Limit_Partition_SumStaysWithinLimit);
   CPPUNIT_TEST(Budget_Outage_BoundsRetries);
-  CPPUNIT_TEST(RetryShare_MoreDaemonsThanRetries_GivesWholeOnes);
+  CPPUNIT_TEST(RetryShare_MoreDaemonsThanRetries_IsWholeRetries);
   CPPUNIT_TEST_SUITE_END();
 
   FairQueue queue{FairQueueSettings{}};
@@ -33,17 +33,18 @@
     return request;
   }
 
-  bool Offer(std::uint64_t aId, const std::string& aOrganisation,
-             Priority aPriority = Priority::Normal) {
+  bool Enqueue(std::uint64_t aId, const std::string& aOrganisation,
+               Priority aPriority = Priority::Normal) {
     return this->queue
-        .Offer(this->RequestOf(aId, aOrganisation, aPriority), 10000, this->now)
+        .Enqueue(this->RequestOf(aId, aOrganisation, aPriority), 10000,
+                 this->now)
         .has_value();
   }
 
  public:
-  void Offer_TurnTooFar_IsRefusedWithATime() {
+  void Enqueue_WaitTooLong_IsRefusedWithRetryAfter() {
     const auto slow = [this](std::uint64_t aId) {
-      return this->queue.Offer(this->RequestOf(aId, "a"), 50, this->now);
+      return this->queue.Enqueue(this->RequestOf(aId, "a"), 50, this->now);
     };
     CPPUNIT_ASSERT(slow(1).has_value());
     const Result<void> second = slow(2);
@@ -54,47 +55,47 @@
                    Outcome::NotRun);
   }
 
-  void Peek_TwoOrganisations_ServesTheLessServed() {
+  void Peek_TwoOrganisations_ReturnsLowestCounter() {
     this->queue.OnBegin("a", 1, {0, 500});
-    CPPUNIT_ASSERT(this->Offer(1, "a"));
-    CPPUNIT_ASSERT(this->Offer(2, "b"));
+    CPPUNIT_ASSERT(this->Enqueue(1, "a"));
+    CPPUNIT_ASSERT(this->Enqueue(2, "b"));
     this->queue.OnBegin("b", 1, {0, 10});
     CPPUNIT_ASSERT_EQUAL(std::string("a"),
                          this->queue.Peek(this->now)->organisation);
   }
 
-  void Peek_HighPriority_GoesFirstButNotAlone() {
-    CPPUNIT_ASSERT(this->Offer(1000, "low", Priority::Low));
-    int taken = 0;
-    for (std::uint64_t id = 1; taken < 100; ++id, ++taken) {
-      CPPUNIT_ASSERT(this->Offer(id, "high", Priority::High));
+  void Peek_HighPriority_DoesNotStarveLow() {
+    CPPUNIT_ASSERT(this->Enqueue(1000, "low", Priority::Low));
+    int picks = 0;
+    for (std::uint64_t id = 1; picks < 100; ++id, ++picks) {
+      CPPUNIT_ASSERT(this->Enqueue(id, "high", Priority::High));
       const auto next = this->queue.Peek(this->now);
-      this->queue.Take(next->id);
+      this->queue.Dequeue(next->id);
       if (next->id == 1000) {
         break;
       }
     }
-    CPPUNIT_ASSERT(taken >= 10 && taken < 30);
+    CPPUNIT_ASSERT(picks >= 10 && picks < 30);
   }
 
-  void Shed_Any_TakesTheLowestPriority() {
-    CPPUNIT_ASSERT(this->Offer(1, "a", Priority::Low));
-    CPPUNIT_ASSERT(this->Offer(2, "a", Priority::High));
-    CPPUNIT_ASSERT(this->Offer(3, "b", Priority::Normal));
+  void Shed_SeveralPriorities_RemovesLowestFirst() {
+    CPPUNIT_ASSERT(this->Enqueue(1, "a", Priority::Low));
+    CPPUNIT_ASSERT(this->Enqueue(2, "a", Priority::High));
+    CPPUNIT_ASSERT(this->Enqueue(3, "b", Priority::Normal));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, this->queue.Shed()->id);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, this->queue.Shed()->id);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, this->queue.Shed()->id);
     CPPUNIT_ASSERT(!this->queue.Shed().has_value());
   }
 
-  void Open_AfterIdling_HasSavedUpNothing() {
+  void Counter_AfterIdleTime_EarnsNoCredit() {
     this->queue.OnBegin("busy", 1, {0, 10000});
-    CPPUNIT_ASSERT(this->Offer(1, "idle"));
+    CPPUNIT_ASSERT(this->Enqueue(1, "idle"));
     CPPUNIT_ASSERT(this->queue.Counter("idle") >= this->queue.Counter("busy"));
   }
 
-  void Expired_Request_IsGivenBackOnce() {
-    CPPUNIT_ASSERT(this->Offer(1, "a"));
+  void PopExpired_ExpiredRequest_IsReturnedOnce() {
+    CPPUNIT_ASSERT(this->Enqueue(1, "a"));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1},
                          this->queue.PopExpired(this->now + 60s).size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{0},
@@ -102,7 +103,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->queue.Waiting());
   }
 
-  void Limit_SilentPeer_FallsBackToEqualShare() {
+  void Limit_PeerTimeout_FallsBackToEqualShare() {
     DomainLimit limit({});
     limit.SetPeers({"p1", "p2", "p3"}, this->now);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(25.0, limit.Share("a", 100, this->now), 0.001);
@@ -115,8 +116,9 @@
     CPPUNIT_ASSERT_DOUBLES_EQUAL(25.0, limit.Share("a", 100, this->now), 0.001);
   }
 
-  void Limit_CutInTwo_SumStaysWithin() {
-    // Two of four are heard by each other only: all fall back.
+  void Limit_Partition_SumStaysWithinLimit() {
+    // Each daemon of four gets a report of one peer only, so that all fall
+    // back to the equal share.
     std::vector<DomainLimit> limits(4, DomainLimit({}));
     double sum = 0;
     for (std::size_t i = 0; i < limits.size(); ++i) {
@@ -128,21 +130,22 @@
     CPPUNIT_ASSERT(sum <= 100.001);
   }
 
-  // Each of 985 daemons had 0.84 of a retry, and none ever made one.
-  void RetryShare_MoreDaemonsThanRetries_GivesWholeOnes() {
+  // With a fractional share, each of 985 daemons had 0.84 of a retry, and no
+  // daemon could ever retry.
+  void RetryShare_MoreDaemonsThanRetries_IsWholeRetries() {
     constexpr double kSlack = 1040;
     for (const std::size_t daemons : {8UL, 100UL, 300UL, 985UL, 1970UL}) {
       double sum = 0;
-      std::size_t able = 0;
-      for (std::size_t place = 0; place < daemons; ++place) {
-        const double share = RetryShare(kSlack, {daemons, place});
+      std::size_t withRetry = 0;
+      for (std::size_t rank = 0; rank < daemons; ++rank) {
+        const double share = RetryShare(kSlack, {daemons, rank});
         sum += share;
         RetryBudgetSettings settings;
-        settings.most = share;
-        able += RetryBudget(settings).TryAcquireRetry(0.5) ? 1 : 0;
+        settings.capacity = share;
+        withRetry += RetryBudget(settings).TryAcquireRetry(0.5) ? 1 : 0;
       }
       CPPUNIT_ASSERT(sum <= kSlack);
-      CPPUNIT_ASSERT(able >= std::min<std::size_t>(daemons, 832));
+      CPPUNIT_ASSERT(withRetry >= std::min<std::size_t>(daemons, 832));
     }
   }
 
--- a/Zincstep/Admission/Admission.h
+++ b/Zincstep/Admission/Admission.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// \file
-/// Public header of the admission library: fairness, limits, retries, and
-/// requests that must not run again.
+/// Public header of the admission library: fair queueing, rate limits, retry
+/// budgets, and blocking of requests that crash upstreams.
 
 #include "Zincstep/Admission/CrashTracker.h"
 #include "Zincstep/Admission/DomainLimit.h"
--- a/Zincstep/Admission/CrashTracker.cpp
+++ b/Zincstep/Admission/CrashTracker.cpp
@@ -23,10 +23,10 @@
 }
 
 CrashVerdict CrashTracker::OnCrash(const UpstreamCrash& aCrash, Instant aNow) {
-  if (this->IsAnsweredLately(aCrash.request, aNow)) {
+  if (this->HasCompletedRecently(aCrash.request, aNow)) {
     return CrashVerdict::Ignored;
   }
-  this->MakeRoom();
+  this->EvictIfFull();
   Record& record = this->records[aCrash.request];
   const bool wasBlocked = this->IsBlocked(record);
   if (record.crashed.size() < this->settings.maxCrashes &&
@@ -37,23 +37,23 @@
                                                 : CrashVerdict::Counted;
 }
 
-bool CrashTracker::OnAnswered(RequestFingerprint aRequest, Instant aNow) {
-  const bool isNew = this->answered.insert_or_assign(aRequest, aNow).second;
+bool CrashTracker::OnCompleted(RequestFingerprint aRequest, Instant aNow) {
+  const bool isNew = this->completedAt.insert_or_assign(aRequest, aNow).second;
   if (isNew) {
-    this->answeredInOrder.push_back(aRequest);
+    this->completionOrder.push_back(aRequest);
   }
-  if (this->answeredInOrder.size() > this->settings.maxAnswered) {
-    this->answered.erase(this->answeredInOrder.front());
-    this->answeredInOrder.pop_front();
+  if (this->completionOrder.size() > this->settings.maxCompleted) {
+    this->completedAt.erase(this->completionOrder.front());
+    this->completionOrder.pop_front();
   }
   return this->Clear(aRequest);
 }
 
-bool CrashTracker::IsAnsweredLately(RequestFingerprint aRequest,
-                                    Instant aNow) const {
-  const auto found = this->answered.find(aRequest);
-  return found != this->answered.end() &&
-         aNow - found->second < this->settings.answeredTime;
+bool CrashTracker::HasCompletedRecently(RequestFingerprint aRequest,
+                                        Instant aNow) const {
+  const auto found = this->completedAt.find(aRequest);
+  return found != this->completedAt.end() &&
+         aNow - found->second < this->settings.completedRetention;
 }
 
 void CrashTracker::SetBlockList(const std::set<RequestFingerprint>& aRequests,
@@ -74,28 +74,33 @@
                                 Instant aNow) const {
   const auto found = this->records.find(aRequest);
   if (found == this->records.end() || !this->IsBlocked(found->second)) {
-    return this->IsHeld(aRequest, aNow) ? this->settings.holdTime : Micros{0};
+    return this->HasPendingBlock(aRequest, aNow)
+               ? this->settings.suspectedRetryAfter
+               : Micros{0};
   }
-  return std::max(Micros{0}, this->EndOf(found->second) - aNow);
+  return std::max(Micros{0}, this->ExpiryOf(found->second) - aNow);
 }
 
-bool CrashTracker::IsHeld(RequestFingerprint aRequest, Instant aNow) const {
-  const auto open = this->suspected.find(aRequest);
-  if (open == this->suspected.end() || this->IsAnsweredLately(aRequest, aNow)) {
+bool CrashTracker::HasPendingBlock(RequestFingerprint aRequest,
+                                   Instant aNow) const {
+  const auto suspects = this->suspected.find(aRequest);
+  if (suspects == this->suspected.end() ||
+      this->HasCompletedRecently(aRequest, aNow)) {
     return false;
   }
-  std::set<std::uint64_t> all = open->second;
-  if (const auto blamed = this->records.find(aRequest);
-      blamed != this->records.end()) {
-    all.insert(blamed->second.crashed.begin(), blamed->second.crashed.end());
+  std::set<std::uint64_t> incarnations = suspects->second;
+  if (const auto recorded = this->records.find(aRequest);
+      recorded != this->records.end()) {
+    incarnations.insert(recorded->second.crashed.begin(),
+                        recorded->second.crashed.end());
   }
-  return all.size() >= this->settings.maxCrashes;
+  return incarnations.size() >= this->settings.maxCrashes;
 }
 
 std::set<RequestFingerprint> CrashTracker::Blocked(Instant aNow) const {
   std::set<RequestFingerprint> blocked;
   for (const auto& [request, record] : this->records) {
-    if (this->IsBlocked(record) && aNow < this->EndOf(record)) {
+    if (this->IsBlocked(record) && aNow < this->ExpiryOf(record)) {
       blocked.insert(request);
     }
   }
@@ -105,9 +110,9 @@
 std::vector<UpstreamCrash> CrashTracker::UnlistedCrashes(Instant aNow) const {
   std::vector<UpstreamCrash> crashes;
   for (const auto& [request, record] : this->records) {
-    const bool isOpen = !record.isListed && this->IsBlocked(record) &&
-                        aNow < this->EndOf(record);
-    if (!isOpen) {
+    const bool isUnlisted = !record.isListed && this->IsBlocked(record) &&
+                            aNow < this->ExpiryOf(record);
+    if (!isUnlisted) {
       continue;
     }
     for (const std::uint64_t upstream : record.crashed) {
@@ -119,15 +124,15 @@
 
 void CrashTracker::Tick(Instant aNow) {
   std::erase_if(this->records, [&](const auto& aEntry) {
-    return aNow >= this->EndOf(aEntry.second);
+    return aNow >= this->ExpiryOf(aEntry.second);
   });
 }
 
-void CrashTracker::MakeRoom() {
+void CrashTracker::EvictIfFull() {
   if (this->records.size() < this->settings.maxRequests) {
     return;
   }
-  const auto least = std::min_element(
+  const auto victim = std::min_element(
       this->records.begin(), this->records.end(),
       [this](const auto& aLeft, const auto& aRight) {
         const auto rank = [this](const Record& aRecord) {
@@ -135,7 +140,7 @@
         };
         return rank(aLeft.second) < rank(aRight.second);
       });
-  this->records.erase(least);
+  this->records.erase(victim);
 }
 
 }  // namespace zincstep
--- a/Zincstep/Admission/CrashTracker.h
+++ b/Zincstep/Admission/CrashTracker.h
@@ -11,128 +11,139 @@
 
 namespace zincstep {
 
-/// Settings of the ledger of crashes.
+/// Settings of the crash tracker.
 struct CrashTrackerSettings {
-  /// Upstreams that may end under one request. Streams that are cut together
-  /// are sent on together, so that innocent ones may be there once or twice:
-  /// with one, 226 of 29,096 attempts were refused beside a third of the pool
-  /// that ended four times, with three none (replay of 300 daemons).
+  /// Number of upstream crashes after which a request is blocked. Streams that
+  /// lose the same upstream are resent together, so that an unrelated request
+  /// can run on a crashing upstream once or twice. In a replay of 300 daemons,
+  /// in which a third of the pool crashed four times, a value of 1 refused 226
+  /// of 29,096 attempts of unrelated requests; 3 refused none.
   std::size_t maxCrashes = 3;
-  /// Time after which a blocked request is tried again: the upstreams may run
-  /// a mended version by then. Each trial may end three of them.
-  Micros blockedTime = 600s;
-  /// Time after which fewer crashes are forgotten: a caller that repeats has
-  /// come back many times by then.
-  Micros memory = 120s;
-  /// Requests that are remembered at once, some 200 bytes each; callers make
-  /// new ones at will. Those that are not blocked go first, the oldest before.
+  /// Time after which a blocked request may run again, since the upstreams may
+  /// run a fixed version by then. Each trial can crash `maxCrashes` upstreams.
+  Micros blockDuration = 600s;
+  /// Time for which a record with fewer than `maxCrashes` crashes is kept. A
+  /// caller that retries does so many times within it.
+  Micros crashRetention = 120s;
+  /// Maximum number of records, about 200 bytes each; callers can create new
+  /// requests without limit. Records of requests that are not blocked are
+  /// evicted first, oldest first.
   std::size_t maxRequests = 4096;
-  /// Requests answered whole that are remembered, and for how long. Identical
-  /// ones of many callers may be on several upstreams that end at once.
-  std::size_t maxAnswered = 4096;
-  Micros answeredTime = 60s;
-  /// Retry-After of requests that are held back until it is known whether
-  /// upstreams have ended under them; most questions take less.
-  Micros holdTime = 500ms;
+  /// Number of completed requests that are remembered, and for how long. Many
+  /// callers can send the same request, so that it runs on several upstreams
+  /// that crash at once.
+  std::size_t maxCompleted = 4096;
+  Micros completedRetention = 60s;
+  /// Retry-After of requests that are refused while a suspected crash is being
+  /// confirmed; most checks take less time.
+  Micros suspectedRetryAfter = 500ms;
 };
 
-/// What a crash says of the request that ran.
+/// Result of recording a crash against the request that ran.
 enum class CrashVerdict {
-  /// It has been answered whole lately: it ends nobody.
+  /// Not counted: the request completed successfully a short time ago.
   Ignored,
+  /// Counted; the request's state is unchanged.
   Counted,
-  /// It is blocked from now on.
+  /// Counted, and the request is blocked from now on.
   Blocked,
 };
 
-/// An upstream that ended while it ran a request.
+/// A crash of an upstream while it ran a request.
 struct UpstreamCrash {
   RequestFingerprint request{};
-  /// The incarnation, as `LiveUpstream::Number`.
+  /// The upstream's incarnation, as `LiveUpstream::Number`.
   std::uint64_t upstream = 0;
 };
 
-/// Remembers under which requests upstreams have ended, and blocks a request
-/// that ends whoever runs it.
+/// Counts the upstream crashes that happened while a request ran, and blocks
+/// poison requests: those that crash every upstream that runs them.
 ///
-/// Attempts, retries and budgets are counted within one attempt or for a whole
-/// service, so that a request whose caller repeats it could end one upstream
-/// after the other: 22 of 39 in ten seconds. Here it is counted by what it is,
-/// over attempts and daemons. A crash ends everything that an upstream runs, so
-/// that whoever was there may be innocent: crashes count once for each
-/// incarnation, and an answer that comes whole takes all of them back and
-/// speaks for the same request for a while. Without that, three upstreams that
-/// ended within 60 ms blocked the requests that all callers shared, for ten
-/// minutes (one of 23 seeds of the soak).
+/// Retry limits and budgets apply to one attempt or to a whole service, so that
+/// a poison request whose caller repeats it could crash one upstream after the
+/// other: 22 of 39 in ten seconds. The tracker counts by fingerprint, over all
+/// attempts and daemons. A crash ends every request that the upstream runs,
+/// most of which may be unrelated to it. Therefore each incarnation counts
+/// once, and a successful completion clears the count and makes the tracker
+/// ignore crashes for the same request for `completedRetention`. Without this,
+/// three upstreams that crashed within 60 ms blocked requests that all callers
+/// shared, for ten minutes (one of 23 soak seeds).
 class CrashTracker {
  public:
   explicit CrashTracker(CrashTrackerSettings aSettings) : settings(aSettings) {}
 
-  /// An upstream may have ended under a request, which is being found out here.
-  /// Requests with as many of these as block one are held back meanwhile.
+  /// Records that an upstream may have crashed while it ran a request, and that
+  /// this daemon is checking. Until the check ends the suspicion counts towards
+  /// `maxCrashes` for `BlockedFor`.
   void OnSuspected(const UpstreamCrash& aCrash);
-  /// It has been found out, or cannot be.
+  /// Removes a suspicion: the check has ended, with or without a result.
   void OnSuspicionResolved(const UpstreamCrash& aCrash);
-  /// An upstream has ended under a request, as this daemon found or was told.
+  /// Records a crash that this daemon observed or that a peer reported.
   CrashVerdict OnCrash(const UpstreamCrash& aCrash, Instant aNow);
-  /// The request was answered whole here. True: it had been blamed.
-  bool OnAnswered(RequestFingerprint aRequest, Instant aNow);
-  /// The request was answered whole elsewhere. True: it had been blamed.
+  /// Clears a request that completed successfully on this daemon. Returns
+  /// whether crashes were recorded for it.
+  bool OnCompleted(RequestFingerprint aRequest, Instant aNow);
+  /// Clears a request that completed successfully on another daemon. Returns
+  /// whether crashes were recorded for it.
   bool Clear(RequestFingerprint aRequest) {
     return this->records.erase(aRequest) > 0;
   }
-  /// All requests that are blocked by common knowledge. One that was and is no
-  /// more has been answered elsewhere, or its time has passed.
+  /// Replaces the block list, which all daemons share through the store.
+  /// Requests that are no longer listed are cleared: they completed on another
+  /// daemon, or their block has expired.
   void SetBlockList(const std::set<RequestFingerprint>& aRequests,
                     Instant aNow);
 
-  /// Whether no request is blamed.
+  /// Whether no crash is recorded for any request.
   bool IsEmpty() const { return this->records.empty(); }
   bool HasCrashes(RequestFingerprint aRequest) const {
     return this->records.contains(aRequest);
   }
-  /// Whether any request may have to wait: else none needs to be looked up.
+  /// Whether any request can be blocked; if not, callers can skip computing
+  /// the fingerprint.
   bool MayBlock() const {
     return !this->records.empty() || !this->suspected.empty();
   }
-  /// For how long a request must not run, blocked or held back; zero: it may.
+  /// Time for which a request must not run, because it is blocked or has
+  /// suspected crashes; 0 if it may run.
   Micros BlockedFor(RequestFingerprint aRequest, Instant aNow) const;
-  /// All that must not run.
+  /// All requests that are blocked at `aNow`.
   std::set<RequestFingerprint> Blocked(Instant aNow) const;
-  /// The crashes because of which a request is blocked that is not on the list.
+  /// Crashes of the blocked requests that are not on the shared block list.
   std::vector<UpstreamCrash> UnlistedCrashes(Instant aNow) const;
-  /// Forgets what has passed; to be called now and then.
+  /// Removes expired records. Call periodically.
   void Tick(Instant aNow);
 
  private:
   struct Record {
-    /// Incarnations that have ended.
+    /// Incarnations that crashed while they ran the request.
     std::set<std::uint64_t> crashed;
     Instant lastCrash{};
     bool isListed = false;
   };
 
-  /// Whether ends that are being found out would block it.
-  bool IsHeld(RequestFingerprint aRequest, Instant aNow) const;
-  bool IsAnsweredLately(RequestFingerprint aRequest, Instant aNow) const;
+  /// Whether the suspected crashes, if confirmed, would block the request.
+  bool HasPendingBlock(RequestFingerprint aRequest, Instant aNow) const;
+  bool HasCompletedRecently(RequestFingerprint aRequest, Instant aNow) const;
   bool IsBlocked(const Record& aRecord) const {
     return aRecord.isListed ||
            aRecord.crashed.size() >= this->settings.maxCrashes;
   }
-  Instant EndOf(const Record& aRecord) const {
+  Instant ExpiryOf(const Record& aRecord) const {
     return aRecord.lastCrash + (this->IsBlocked(aRecord)
-                                    ? this->settings.blockedTime
-                                    : this->settings.memory);
+                                    ? this->settings.blockDuration
+                                    : this->settings.crashRetention);
   }
-  void MakeRoom();
+  void EvictIfFull();
 
   CrashTrackerSettings settings;
   std::unordered_map<RequestFingerprint, Record> records;
-  /// Incarnations of which it is being found out whether they have ended.
+  /// Incarnations whose crash is suspected but not yet confirmed.
   std::unordered_map<RequestFingerprint, std::set<std::uint64_t>> suspected;
-  /// When each was last answered; the oldest of the queue goes first.
-  std::unordered_map<RequestFingerprint, Instant> answered;
-  std::deque<RequestFingerprint> answeredInOrder;
+  /// Time of each request's last successful completion. `completionOrder` has
+  /// the keys, oldest first, and determines which is evicted.
+  std::unordered_map<RequestFingerprint, Instant> completedAt;
+  std::deque<RequestFingerprint> completionOrder;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Admission/DomainLimit.cpp
+++ b/Zincstep/Admission/DomainLimit.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Demands below this are not worth telling.
-constexpr double kLeastDemand = 0.5;
+/// Smaller demands are left out of the reports, in tokens per second.
+constexpr double kMinReportedDemand = 0.5;
 
 }  // namespace
 
@@ -21,7 +21,7 @@
   std::map<std::string, Peer> next;
   for (const std::string& name : aPeers) {
     const auto found = this->peers.find(name);
-    // A new peer counts as silent until it has spoken.
+    // A new peer is not live until its first report.
     next[name] = found == this->peers.end()
                      ? Peer{aNow - 2 * this->settings.peerTimeout, {}}
                      : found->second;
@@ -63,31 +63,31 @@
   if (!this->AreAllPeersLive(aNow)) {
     return equal;
   }
-  const double own = this->DecayedDemand(this->buckets[aOrganisation], aNow);
-  double all = own;
-  const std::uint32_t number = OrganisationHash(aOrganisation);
+  const double local = this->DecayedDemand(this->buckets[aOrganisation], aNow);
+  double total = local;
+  const std::uint32_t hash = OrganisationHash(aOrganisation);
   for (const auto& [name, peer] : this->peers) {
-    const auto found = peer.demands.find(number);
-    all += found == peer.demands.end() ? 0 : found->second;
+    const auto found = peer.demands.find(hash);
+    total += found == peer.demands.end() ? 0 : found->second;
   }
-  if (all <= 0) {
+  if (total <= 0) {
     return equal;
   }
-  const double fixed = this->settings.equalShare;
-  return equal * fixed + aLimit * (1 - fixed) * own / all;
+  const double equalShare = this->settings.equalShare;
+  return equal * equalShare + aLimit * (1 - equalShare) * local / total;
 }
 
-void DomainLimit::Fill(Bucket& aBucket, double aRate, Instant aNow) {
+void DomainLimit::Refill(Bucket& aBucket, double aRate, Instant aNow) {
   const double depth = aRate * ToSeconds(this->settings.burst);
-  if (!aBucket.isFilled) {
-    aBucket.isFilled = true;
+  if (!aBucket.isInitialised) {
+    aBucket.isInitialised = true;
     aBucket.tokens = depth;
   } else {
-    const double age = ToSeconds(aNow - aBucket.filledAt);
+    const double age = ToSeconds(aNow - aBucket.refilledAt);
     aBucket.tokens = std::min(depth, aBucket.tokens + aRate * age);
   }
   aBucket.rate = aRate;
-  aBucket.filledAt = aNow;
+  aBucket.refilledAt = aNow;
 }
 
 Result<void> DomainLimit::Admit(const std::string& aOrganisation, double aLimit,
@@ -99,21 +99,21 @@
   if (aLimit <= 0) {
     return {};
   }
-  this->Fill(bucket, this->Share(aOrganisation, aLimit, aNow), aNow);
+  this->Refill(bucket, this->Share(aOrganisation, aLimit, aNow), aNow);
   if (bucket.tokens > 0) {
     return {};
   }
   const Micros wait = FromSeconds((1 - bucket.tokens) / bucket.rate);
   return tl::unexpected<Error>(
       Error{ErrorKind::LimitReached,
-            "the organisation's limit of tokens a second is reached",
+            "the organisation's limit of tokens per second is reached",
             std::clamp<Micros>(wait, 100ms, 60s)});
 }
 
 void DomainLimit::Charge(const std::string& aOrganisation, double aTokens,
                          Instant) {
   Bucket& bucket = this->buckets[aOrganisation];
-  if (bucket.isFilled) {
+  if (bucket.isInitialised) {
     bucket.tokens -= aTokens;
   }
 }
@@ -122,7 +122,7 @@
   std::vector<UsageReport> reports;
   for (const auto& [name, bucket] : this->buckets) {
     const double demand = this->DecayedDemand(bucket, aNow);
-    if (demand >= kLeastDemand) {
+    if (demand >= kMinReportedDemand) {
       reports.push_back({OrganisationHash(name), demand});
     }
   }
--- a/Zincstep/Admission/DomainLimit.h
+++ b/Zincstep/Admission/DomainLimit.h
@@ -8,72 +8,74 @@
 
 namespace zincstep {
 
-/// One organisation's use at one daemon, as peers tell each other.
+/// One organisation's demand at one daemon, as daemons report it to peers.
 struct UsageReport {
-  /// `OrganisationHash` of its name: names would be most of the gossip.
+  /// `OrganisationHash` of the name; full names would make up most of the
+  /// gossip message.
   std::uint32_t organisation = 0;
-  /// Tokens a second that callers have asked for there, served or not.
+  /// Tokens per second that callers requested there, served or not.
   double demand = 0;
 };
 
-/// Number that stands for an organisation between peers.
+/// 32-bit hash that identifies an organisation in messages between peers.
 ///
-/// Two names with one number would have their demands added, which makes
-/// both shares smaller: an error to the safe side.
+/// On a collision the two organisations' demands are added up, which makes both
+/// shares smaller: the limits still hold.
 std::uint32_t OrganisationHash(const std::string& aName);
 
-/// Settings of the limits that hold over a failure domain.
+/// Settings of the rate limits of a failure domain.
 struct DomainLimitSettings {
-  /// Time over which demand is averaged.
+  /// Time constant of the exponential average of demand.
   Micros demandWindow = 2s;
-  /// A peer that is silent for longer has not been heard.
+  /// Time without a report after which a peer is not live.
   Micros peerTimeout = 3s;
-  /// Time for which a bucket may save up its rate.
+  /// Depth of a token bucket, as the time in which its rate fills it.
   Micros burst = 1s;
-  /// Share of the limit that is divided equally, so that a daemon with no
-  /// demand yet can begin at once.
+  /// Share of the limit that is divided equally, so that a daemon without
+  /// demand so far can admit requests at once.
   double equalShare = 0.1;
 };
 
-/// Keeps organisations' limits over all daemons of a failure domain.
+/// Enforces organisations' rate limits over all daemons of a failure domain.
 ///
-/// Each daemon has a bucket of its share of the limit. While all peers are
-/// heard the share follows demand: everybody divides the same limit by the
-/// same reports. When any peer is silent, a daemon cannot know what that
-/// one allows itself, and everybody falls back to limit / daemons: the sum
-/// stays within the limit on both sides of a cut, at the price of refusing
-/// work that the other side's share would have had room for.
+/// Each daemon has a token bucket with its share of the limit. While all peers
+/// are live, shares are proportional to demand, as all daemons divide the same
+/// limit by the same reports. If any peer has timed out, its share is unknown,
+/// and the daemon falls back to limit / daemons. So the sum stays within the
+/// limit on both sides of a partition, at the cost of refusing requests that
+/// the other side's unused share could have admitted.
 class DomainLimit {
  public:
   explicit DomainLimit(DomainLimitSettings aSettings) : settings(aSettings) {}
 
   /// Sets the other daemons of the domain, by name.
   void SetPeers(const std::vector<std::string>& aPeers, Instant aNow);
-  /// A peer has told its demands.
+  /// Applies a peer's report of its demands; ignores unknown peers.
   void OnReport(const std::string& aPeer,
                 const std::vector<UsageReport>& aReports, Instant aNow);
 
-  /// Whether a request of so many tokens may begin; counts as demand.
+  /// Admits a request of `aTokens` tokens, or fails with `LimitReached` and a
+  /// retry delay. The request counts as demand in both cases.
   ///
-  /// `aLimit` is the organisation's, in tokens a second; 0 means none.
+  /// `aLimit` is the organisation's limit in tokens per second; 0 is unlimited.
   Result<void> Admit(const std::string& aOrganisation, double aLimit,
                      double aTokens, Instant aNow);
-  /// Tokens were served; the bucket may go below zero by work in flight.
+  /// Deducts served tokens. Work in flight can take the bucket below zero.
   void Charge(const std::string& aOrganisation, double aTokens, Instant aNow);
 
-  /// Own demands, to be told to peers.
+  /// This daemon's demands, for the reports to peers.
   std::vector<UsageReport> Demands(Instant aNow);
-  /// This daemon's share of a limit now, in tokens a second.
+  /// This daemon's current share of a limit, in tokens per second.
   double Share(const std::string& aOrganisation, double aLimit, Instant aNow);
-  /// Whether all peers are heard.
+  /// Whether every peer has reported within `peerTimeout`.
   bool AreAllPeersLive(Instant aNow) const;
 
  private:
   struct Bucket {
     double tokens = 0;
     double rate = 0;
-    Instant filledAt;
-    bool isFilled = false;
+    Instant refilledAt;
+    bool isInitialised = false;
     double demand = 0;
     Instant demandAt;
   };
@@ -83,7 +85,7 @@
   };
 
   double DecayedDemand(const Bucket& aBucket, Instant aNow) const;
-  void Fill(Bucket& aBucket, double aRate, Instant aNow);
+  void Refill(Bucket& aBucket, double aRate, Instant aNow);
 
   DomainLimitSettings settings;
   std::map<std::string, Bucket> buckets;
--- a/Zincstep/Admission/FairQueue.cpp
+++ b/Zincstep/Admission/FairQueue.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-constexpr double kForever = 3600;
+/// Upper bound of an expected wait, in seconds.
+constexpr double kMaxExpectedWait = 3600;
 
 std::size_t Rank(Priority aPriority) {
   return static_cast<std::size_t>(aPriority);
@@ -15,24 +16,24 @@
 
 }  // namespace
 
-double FairQueue::LeastBusyCounter() const {
-  double least = std::numeric_limits<double>::infinity();
+double FairQueue::MinBusyCounter() const {
+  double lowest = std::numeric_limits<double>::infinity();
   for (const auto& [name, account] : this->accounts) {
     if (account.IsBusy()) {
-      least = std::min(least, account.counter);
+      lowest = std::min(lowest, account.counter);
     }
   }
-  return least;
+  return lowest;
 }
 
-FairQueue::Account& FairQueue::Open(const std::string& aOrganisation,
-                                    double aWeight) {
+FairQueue::Account& FairQueue::OpenAccount(const std::string& aOrganisation,
+                                           double aWeight) {
   Account& account = this->accounts[aOrganisation];
   account.weight = aWeight;
   if (!account.IsBusy()) {
-    const double least = this->LeastBusyCounter();
-    if (least != std::numeric_limits<double>::infinity()) {
-      account.counter = std::max(account.counter, least);
+    const double lowest = this->MinBusyCounter();
+    if (lowest != std::numeric_limits<double>::infinity()) {
+      account.counter = std::max(account.counter, lowest);
     }
   }
   return account;
@@ -40,86 +41,89 @@
 
 Micros FairQueue::ExpectedWait(const QueuedRequest& aRequest,
                                double aTokenRate) const {
-  double weights = aRequest.weight;
-  double ahead = 0;
+  double totalWeight = aRequest.weight;
+  double queuedTokens = 0;
   for (const auto& [name, account] : this->accounts) {
     if (name == aRequest.organisation) {
-      ahead = account.waitingTokens;
+      queuedTokens = account.waitingTokens;
     } else if (account.IsBusy()) {
-      weights += account.weight;
+      totalWeight += account.weight;
     }
   }
   if (aTokenRate <= 0) {
-    return FromSeconds(kForever);
+    return FromSeconds(kMaxExpectedWait);
   }
-  // Its own requests wait for one another; the others take their shares.
-  const double share = aTokenRate * aRequest.weight / weights;
-  return FromSeconds(std::min(kForever, ahead / share));
+  // Requests of one organisation wait for one another; the other busy
+  // organisations use their weighted shares of the rate.
+  const double share = aTokenRate * aRequest.weight / totalWeight;
+  return FromSeconds(std::min(kMaxExpectedWait, queuedTokens / share));
 }
 
-Result<void> FairQueue::Offer(QueuedRequest aRequest, double aTokenRate,
-                              Instant aNow) {
+Result<void> FairQueue::Enqueue(QueuedRequest aRequest, double aTokenRate,
+                                Instant aNow) {
   const Micros wait = this->ExpectedWait(aRequest, aTokenRate);
-  const Micros patience =
+  const Micros maxWait =
       std::min(this->settings.maxWait, aRequest.startBy - aNow);
-  if (wait > patience || this->waiting >= this->settings.maxWaiting) {
-    const Micros back = std::clamp<Micros>(wait - patience, 200ms, 30s);
+  if (wait > maxWait || this->waiting >= this->settings.maxWaiting) {
+    const Micros retryAfter = std::clamp<Micros>(wait - maxWait, 200ms, 30s);
     return tl::unexpected<Error>(
         Error{ErrorKind::Overloaded,
-              "the organisation's turn would not come in time", back});
+              "the expected wait in the organisation's queue is too long",
+              retryAfter});
   }
-  Account& account = this->Open(aRequest.organisation, aRequest.weight);
+  Account& account = this->OpenAccount(aRequest.organisation, aRequest.weight);
   account.waitingTokens += aRequest.tokens;
   this->waiting += 1;
-  this->waitingBy[Rank(aRequest.priority)] += 1;
+  this->waitingByPriority[Rank(aRequest.priority)] += 1;
   aRequest.queuedAt = aNow;
-  aRequest.startBy = std::min(aRequest.startBy, aNow + 2 * patience);
+  aRequest.startBy = std::min(aRequest.startBy, aNow + 2 * maxWait);
   account.queues[Rank(aRequest.priority)].push_back(std::move(aRequest));
   return {};
 }
 
-std::optional<std::size_t> FairQueue::PickPriority() const {
-  const bool lowFirst = (this->picks + 1) % this->settings.picksPerLowPick == 0;
-  const std::size_t count = this->waitingBy.size();
+std::optional<std::size_t> FairQueue::SelectPriority() const {
+  const bool isLowFirst =
+      (this->picks + 1) % this->settings.picksPerLowPick == 0;
+  const std::size_t count = this->waitingByPriority.size();
   for (std::size_t i = 0; i < count; ++i) {
-    const std::size_t rank = lowFirst ? count - 1 - i : i;
-    if (this->waitingBy[rank] > 0) {
+    const std::size_t rank = isLowFirst ? count - 1 - i : i;
+    if (this->waitingByPriority[rank] > 0) {
       return rank;
     }
   }
   return std::nullopt;
 }
 
-void FairQueue::Drop(Account& aAccount, const QueuedRequest& aRequest) {
+void FairQueue::OnRemoved(Account& aAccount, const QueuedRequest& aRequest) {
   aAccount.waitingTokens -= aRequest.tokens;
-  const bool empty =
+  const bool isEmpty =
       std::all_of(aAccount.queues.begin(), aAccount.queues.end(),
                   [](const auto& aQueue) { return aQueue.empty(); });
-  if (empty) {
+  if (isEmpty) {
     aAccount.waitingTokens = 0;
   }
   this->waiting -= 1;
-  this->waitingBy[Rank(aRequest.priority)] -= 1;
+  this->waitingByPriority[Rank(aRequest.priority)] -= 1;
 }
 
 QueuedRequest FairQueue::PopFront(Account& aAccount, std::size_t aPriority) {
   std::deque<QueuedRequest>& queue = aAccount.queues[aPriority];
   QueuedRequest request = std::move(queue.front());
   queue.pop_front();
-  this->Drop(aAccount, request);
+  this->OnRemoved(aAccount, request);
   return request;
 }
 
 std::optional<QueuedRequest> FairQueue::Peek(Instant aNow) {
-  const std::optional<std::size_t> rank = this->PickPriority();
+  const std::optional<std::size_t> rank = this->SelectPriority();
   if (!rank) {
     return std::nullopt;
   }
   const Account* best = nullptr;
   for (const auto& [name, account] : this->accounts) {
     const std::deque<QueuedRequest>& queue = account.queues[*rank];
-    const bool waits = !queue.empty() && queue.front().startBy > aNow;
-    if (waits && (best == nullptr || account.counter < best->counter)) {
+    const bool hasRequest = !queue.empty() && queue.front().startBy > aNow;
+    if (hasRequest && (best == nullptr || account.counter < best->counter)) {
       best = &account;
     }
   }
@@ -129,7 +133,7 @@
   return best->queues[*rank].front();
 }
 
-void FairQueue::Take(std::uint64_t aId) {
+void FairQueue::Dequeue(std::uint64_t aId) {
   if (this->Remove(aId)) {
     this->picks += 1;
   }
@@ -157,7 +161,7 @@
       if (found != queue.end()) {
         const QueuedRequest request = std::move(*found);
         queue.erase(found);
-        this->Drop(account, request);
+        this->OnRemoved(account, request);
         return true;
       }
     }
@@ -166,20 +170,21 @@
 }
 
 std::optional<QueuedRequest> FairQueue::Shed() {
-  for (std::size_t i = this->waitingBy.size(); i > 0; --i) {
+  for (std::size_t i = this->waitingByPriority.size(); i > 0; --i) {
     const std::size_t rank = i - 1;
-    Account* most = nullptr;
+    Account* highest = nullptr;
     for (auto& [name, account] : this->accounts) {
-      const bool waits = !account.queues[rank].empty();
-      if (waits && (most == nullptr || account.counter > most->counter)) {
-        most = &account;
+      const bool hasRequest = !account.queues[rank].empty();
+      if (hasRequest &&
+          (highest == nullptr || account.counter > highest->counter)) {
+        highest = &account;
       }
     }
-    if (most != nullptr) {
-      std::deque<QueuedRequest>& queue = most->queues[rank];
+    if (highest != nullptr) {
+      std::deque<QueuedRequest>& queue = highest->queues[rank];
       QueuedRequest request = std::move(queue.back());
       queue.pop_back();
-      this->Drop(*most, request);
+      this->OnRemoved(*highest, request);
       return request;
     }
   }
@@ -192,7 +197,7 @@
 
 void FairQueue::OnBegin(const std::string& aOrganisation, double aWeight,
                         const TokenCharge& aExpected) {
-  Account& account = this->Open(aOrganisation, aWeight);
+  Account& account = this->OpenAccount(aOrganisation, aWeight);
   account.active += 1;
   account.counter += this->CostOf(aExpected) / aWeight;
   this->active += 1;
@@ -211,18 +216,18 @@
 
 bool FairQueue::IsUnderShare(const std::string& aOrganisation,
                              double aWeight) const {
-  double weights = aWeight;
-  double own = 0;
+  double totalWeight = aWeight;
+  double running = 0;
   double slack = this->settings.shareSlack;
   for (const auto& [name, account] : this->accounts) {
     if (name == aOrganisation) {
-      own = account.active;
+      running = account.active;
       slack = account.IsWaiting() ? 1 : slack;
     } else if (account.IsBusy()) {
-      weights += account.weight;
+      totalWeight += account.weight;
     }
   }
-  return (own + 1) * weights <= slack * aWeight * (this->active + 1);
+  return (running + 1) * totalWeight <= slack * aWeight * (this->active + 1);
 }
 
 double FairQueue::Counter(const std::string& aOrganisation) const {
--- a/Zincstep/Admission/FairQueue.h
+++ b/Zincstep/Admission/FairQueue.h
@@ -12,17 +12,18 @@
 
 namespace zincstep {
 
-/// A request that waits for its turn.
+/// A request that waits in a `FairQueue`.
 struct QueuedRequest {
   std::uint64_t id = 0;
   std::string organisation;
   Priority priority = Priority::Normal;
+  /// Weight of the organisation.
   double weight = 1;
-  /// Tokens of its prompt and its expected answer.
+  /// Tokens of the prompt and the expected answer.
   double tokens = 0;
-  /// It must have begun by then.
+  /// Time by which the request must have started.
   Instant startBy;
-  /// Set by the queue when the request joins it.
+  /// Time of entry to the queue; set by `Enqueue`.
   Instant queuedAt;
 };
 
@@ -34,67 +35,73 @@
 
 /// Settings of a fair queue.
 struct FairQueueSettings {
-  /// A request whose turn is not expected within this time is refused.
+  /// A request whose expected wait is longer is refused.
   Micros maxWait = 1500ms;
   std::size_t maxWaiting = 4096;
-  /// Every so many picks go to the lowest priority that waits.
+  /// Every n-th pick takes the lowest waiting priority, so that it doesn't
+  /// starve.
   int picksPerLowPick = 20;
-  /// How far over its part of the sequences an organisation still counts
-  /// as under it, unless it has requests waiting: arrivals come in bursts.
+  /// Factor by which an organisation without waiting requests may exceed its
+  /// share of the running sequences, since requests arrive in bursts.
   double shareSlack = 1.25;
-  /// Cost of a token of the prompt, where a token of the answer costs 1.
+  /// Cost of a prompt token, relative to a token of the answer.
   double promptTokenCost = 0.25;
 };
 
-/// A queue that divides service among organisations by weight, in tokens.
+/// A weighted fair queue over organisations, with cost measured in tokens.
 ///
-/// Each organisation has a counter of the tokens it was served, over its
-/// weight; the least one is next (VTC: Sheng and others, "Fairness in
-/// serving large language models", OSDI 2024). A request is charged as
-/// expected when it begins, and put right when it ends: charged as it is
-/// served, an organisation would be given one place after the other for
-/// the seconds in which its counter has not caught up. An organisation that
-/// comes back is lifted to the least counter in use, so that idling saves up
-/// nothing. Requests whose turn cannot come in time are refused at once, with
-/// the time after which it could.
+/// Each organisation has a counter of served tokens divided by its weight; the
+/// organisation with the lowest counter is next (VTC: Sheng and others,
+/// "Fairness in serving large language models", OSDI 2024). A request is
+/// charged its expected cost when it starts, and the charge is corrected when
+/// it ends. If it were charged as tokens are served, an organisation would get
+/// one slot after the other for seconds until its counter caught up. The
+/// counter of an organisation that was idle is raised to the lowest one of the
+/// busy organisations, so that idle time earns no credit. A request that cannot
+/// start in time is refused at once, with a Retry-After.
 class FairQueue {
  public:
   explicit FairQueue(FairQueueSettings aSettings) : settings(aSettings) {}
 
-  /// Joins the queue, or is refused with `Overloaded` and a time to come.
+  /// Adds a request, or fails with `Overloaded` and a retry delay if its
+  /// expected wait is too long or the queue is full.
   ///
-  /// `aTokenRate` is what this daemon serves, in tokens a second.
-  Result<void> Offer(QueuedRequest aRequest, double aTokenRate, Instant aNow);
-  /// The next request to begin; it stays until `Take`.
+  /// `aTokenRate` is this daemon's service rate in tokens per second.
+  Result<void> Enqueue(QueuedRequest aRequest, double aTokenRate, Instant aNow);
+  /// Returns the next request to start, without removing it.
   std::optional<QueuedRequest> Peek(Instant aNow);
-  /// Takes the request that `Peek` gave: it begins.
-  void Take(std::uint64_t aId);
-  /// Removes and gives the requests whose time has passed.
+  /// Removes the request that `Peek` returned, and counts it as a pick.
+  void Dequeue(std::uint64_t aId);
+  /// Removes and returns the requests whose `startBy` has passed.
   std::vector<QueuedRequest> PopExpired(Instant aNow);
-  /// Removes a request whose caller has gone; false if it is not waiting.
+  /// Removes a request whose caller has disconnected. Returns false if it is
+  /// not in the queue.
   bool Remove(std::uint64_t aId);
-  /// Removes and gives the lowest-priority request that came last.
+  /// Removes and returns one request of the lowest waiting priority: the last
+  /// one of the organisation with the highest counter.
   std::optional<QueuedRequest> Shed();
 
-  /// A request has begun: its organisation is charged as expected.
+  /// Charges the expected cost of a request that has started.
   void OnBegin(const std::string& aOrganisation, double aWeight,
                const TokenCharge& aExpected);
-  /// The request has ended: the charge becomes what was served.
+  /// Corrects the charge of a request that has ended to the served cost.
   void OnEnd(const std::string& aOrganisation, const TokenCharge& aExpected,
              const TokenCharge& aServed);
-  /// Whether one more sequence leaves the organisation within its weight's
-  /// part of all sequences that run.
+  /// Whether one more sequence keeps the organisation within its weighted share
+  /// of all running sequences.
   ///
-  /// Such a request need not wait for a place: it may begin a little over
-  /// the window, and the next places that become free stay empty for it.
-  /// So one organisation's flood does not hold up the others, who would
-  /// else wait for one of its long answers to end.
+  /// Such a request need not wait for a free slot: it may start slightly above
+  /// the concurrency window, and the next slots that become free are not
+  /// refilled. Otherwise one organisation's burst would delay the others until
+  /// one of its long answers ends.
   bool IsUnderShare(const std::string& aOrganisation, double aWeight) const;
 
+  /// Number of waiting requests, over all organisations.
   std::size_t Waiting() const { return this->waiting; }
-  /// Tokens served to an organisation over its weight.
+  /// Tokens served to an organisation, divided by its weight.
   double Counter(const std::string& aOrganisation) const;
-  /// Expected wait of one more request of this organisation.
+  /// Expected wait of `aRequest`, at a service rate of `aTokenRate` tokens per
+  /// second.
   Micros ExpectedWait(const QueuedRequest& aRequest, double aTokenRate) const;
 
  private:
@@ -109,16 +116,16 @@
     bool IsBusy() const { return this->active > 0 || this->IsWaiting(); }
   };
 
-  Account& Open(const std::string& aOrganisation, double aWeight);
-  double LeastBusyCounter() const;
+  Account& OpenAccount(const std::string& aOrganisation, double aWeight);
+  double MinBusyCounter() const;
   double CostOf(const TokenCharge& aCharge) const;
-  std::optional<std::size_t> PickPriority() const;
+  std::optional<std::size_t> SelectPriority() const;
   QueuedRequest PopFront(Account& aAccount, std::size_t aPriority);
-  void Drop(Account& aAccount, const QueuedRequest& aRequest);
+  void OnRemoved(Account& aAccount, const QueuedRequest& aRequest);
 
   FairQueueSettings settings;
   std::map<std::string, Account> accounts;
-  std::array<std::size_t, kPriorityNames.size()> waitingBy{};
+  std::array<std::size_t, kPriorityNames.size()> waitingByPriority{};
   std::size_t waiting = 0;
   int active = 0;
   int picks = 0;
--- a/Zincstep/Admission/RequestFingerprint.h
+++ b/Zincstep/Admission/RequestFingerprint.h
@@ -7,31 +7,33 @@
 
 namespace zincstep {
 
-/// Names what a request asks for and for whom, whichever attempt it is.
+/// Identifies a request independently of its attempts.
 ///
-/// Attempts have ids of their own; this is the same for all that have the same
-/// method, host, target, organisation and body, at every daemon.
+/// Each attempt has an id of its own. All attempts with the same method, host,
+/// target, organisation and body have the same fingerprint, at every daemon.
 enum class RequestFingerprint : std::uint64_t {};
 
-/// What makes two attempts the same request. The event that a stream goes on
-/// behind is none of it: a caller that resumes asks for the same.
+/// Parts of a request that make up its fingerprint. The last event id of a
+/// resumed stream is not one of them: a caller that resumes a stream repeats
+/// the same request.
 struct RequestIdentity {
   std::string_view method;
   std::string_view host;
   std::string_view target;
-  /// So that one organisation's request is never taken for another's.
+  /// Part of the identity so that requests of different organisations never
+  /// match.
   std::string_view organisation;
   std::string_view body;
 };
 
-/// The first 64 bits of a SHA-256: nobody can make a request that is taken for
-/// somebody else's.
+/// Returns the first 64 bits of a SHA-256, so that a caller cannot construct a
+/// request that matches another organisation's.
 RequestFingerprint FingerprintOf(const RequestIdentity& aIdentity);
 
-/// As 16 hexadecimal digits, for logs and the store.
+/// Returns the fingerprint as 16 hexadecimal digits, for logs and the store.
 std::string TextOf(RequestFingerprint aFingerprint);
 
-/// Reads what `TextOf` wrote; none where it is no such text.
+/// Parses the format of `TextOf`; `nullopt` if the text is invalid.
 std::optional<RequestFingerprint> ParseFingerprint(std::string_view aText);
 
 }  // namespace zincstep
--- a/Zincstep/Admission/RetryBudget.h
+++ b/Zincstep/Admission/RetryBudget.h
@@ -6,55 +6,61 @@
 
 /// Settings of a retry budget.
 struct RetryBudgetSettings {
-  /// Retries that each first try pays for.
+  /// Retries that each request adds to the budget.
   double perRequest = 0.08;
-  /// Retries that may be saved up.
-  double most = 10;
-  Micros firstPause = 20ms;
-  Micros longestPause = 1s;
+  /// Maximum budget, in retries.
+  double capacity = 10;
+  /// Upper bound of the random delay before the first retry; doubles with each
+  /// further one.
+  Micros initialBackoff = 20ms;
+  /// Maximum delay before a retry.
+  Micros maxBackoff = 1s;
 };
 
-/// One of several daemons that divide a bound on retries among them.
+/// This daemon's position among the daemons that share a limit on retries.
 struct RetryParticipant {
-  /// How many there are.
+  /// Number of daemons, this one included.
   std::size_t daemons = 1;
-  /// How many come before this one, in an order that all of them agree on.
-  std::size_t place = 0;
+  /// Number of daemons before this one, in an order common to all of them.
+  std::size_t rank = 0;
 };
 
-/// Retries that a daemon may save up of `aSlack`, which is for all of them.
+/// Returns one daemon's budget capacity, as its share of `aSlack` retries for
+/// all daemons.
 ///
-/// Where there are more daemons than retries a part of one would be none: the
-/// first of them have a whole one.
-double RetryShare(double aSlack, RetryParticipant aSharer);
+/// A share below one retry would never allow any. If there are more daemons
+/// than retries, the first daemons by rank get one retry each and the others
+/// none.
+double RetryShare(double aSlack, RetryParticipant aParticipant);
 
-/// Bounds retries to a share of first tries, whatever goes wrong.
+/// Limits retries to a fraction of the requests.
 ///
-/// Each first try puts a part of a retry into the budget and each retry
-/// takes a whole one, so that attempts cannot pass (1 + share) times the
-/// requests for long, and an outage cannot multiply the load.
+/// Each request adds `perRequest` to the budget and each retry takes 1 from it,
+/// so that in the long run attempts stay below (1 + `perRequest`) times the
+/// requests, and an outage doesn't multiply the load.
 class RetryBudget {
  public:
   explicit RetryBudget(RetryBudgetSettings aSettings)
-      : settings(aSettings), saved(aSettings.most) {}
+      : settings(aSettings), available(aSettings.capacity) {}
 
-  /// A request is tried for the first time.
+  /// Adds to the budget for the first attempt of a request.
   void OnRequest();
-  /// Takes one retry out of the budget; false where there is none beyond
-  /// `aKept`, a share of the most, which is left for work that matters more, in
-  /// whole retries.
-  bool TryAcquireRetry(double aKept = 0);
-  /// Sets how many retries may be saved up, as a share of a common bound
-  /// changes with the number of those who share it.
-  void SetCapacity(double aMost);
-  /// Retries that are saved up now.
-  double Saved() const { return this->saved; }
-  /// Pause before retry number `aRetry`, from 1: full jitter.
-  Micros Pause(int aRetry, Random& aRandom) const;
+  /// Takes one retry from the budget. Returns false if less than one retry is
+  /// left above the reserve for more important work: `aReserved` times the
+  /// capacity, rounded down to whole retries.
+  bool TryAcquireRetry(double aReserved = 0);
+  /// Sets the maximum budget, which changes with the number of daemons that
+  /// share the limit.
+  void SetCapacity(double aCapacity);
+  /// Retries in the budget.
+  double Available() const { return this->available; }
+  /// Delay before retry number `aRetry`, from 1: exponential backoff with full
+  /// jitter.
+  Micros Backoff(int aRetry, Random& aRandom) const;
 
  private:
   RetryBudgetSettings settings;
-  double saved;
+  double available;
 };
 
 }  // namespace zincstep
