--- a/Zincstep/Once/Claim.h
+++ b/Zincstep/Once/Claim.h
@@ -7,7 +7,8 @@
 
 namespace zincstep {
 
-/// Names one run of one request: the daemon that runs it and its number.
+/// Identifies one run of a request: the daemon that runs it and the request's
+/// number there.
 struct Claimant {
   std::string member;
   std::uint64_t request = 0;
@@ -15,13 +16,13 @@
   bool operator==(const Claimant&) const = default;
 };
 
-/// How far a claimed request is.
+/// State of a claimed request.
 enum class ClaimState {
-  /// The claimant may run it, or be running it.
+  /// The claimant may start the request or is running it.
   Claimed,
-  /// It has run, and its answer is kept where it was small.
+  /// The request has run. Its response is cached if it is small enough.
   Finished,
-  /// It may have run; its answer is not known to anybody.
+  /// The request may have run, and no response is available.
   Unknown,
 };
 
@@ -31,38 +32,40 @@
     {ClaimState::Unknown, "unknown"},
 }};
 
-/// An answer that is kept for callers who repeat their key.
+/// A response that is cached for callers that repeat their key.
 struct CachedResponse {
   int status = 0;
   std::string contentType;
   std::string body;
-  /// The body was too large to be kept.
+  /// The body exceeded `kMaxCachedResponseBytes` and was dropped.
   bool isTruncated = false;
 };
 
-/// What a witness remembers of one key.
+/// What a witness stores for one key. A witness is a daemon that votes on the
+/// claims of a key; see `WitnessTable`.
 struct Claim {
-  /// Hash of organisation and key, in hexadecimal.
+  /// Hash of organisation and idempotency key, in hexadecimal.
   std::string key;
-  /// Hash of the request, to tell a repeat from another use of the key.
+  /// Hash of the request, to distinguish a repeat from a reuse of the key for
+  /// another request.
   std::uint64_t digest = 0;
   Claimant claimant;
   ClaimState state = ClaimState::Claimed;
-  CachedResponse answer;
+  CachedResponse response;
 };
 
-/// A witness' answer to a claim.
+/// A witness' vote on a claim.
 struct ClaimVote {
   enum class Kind {
-    /// The key is this claimant's, as far as the witness knows.
+    /// The witness has recorded this claimant as the owner of the key.
     Granted,
-    /// The key is another's; `claim` says whose.
+    /// Another claimant owns the key; `claim` is its claim.
     HeldByOther,
-    /// The witness knows a newer list of members than the claimant.
+    /// The witness has a newer member list than the claimant.
     StaleMembers,
-    /// The witness has no room for a further key.
+    /// The witness has no memory left for another key.
     Full,
-    /// The witness is stopping or has handed its memory over.
+    /// The witness is stopping, or has handed over its claims.
     Closed,
   };
   Kind kind = Kind::Granted;
@@ -77,9 +80,9 @@
     {ClaimVote::Kind::Closed, "closed"},
 }};
 
-/// Time for which a key is remembered after its last change.
+/// Time for which a witness keeps a key after its last change.
 inline constexpr Micros kKeyRetention = 600s;
-/// Largest answer body that is kept for repeats.
+/// Maximum size of a cached response body.
 inline constexpr std::size_t kMaxCachedResponseBytes = 8 << 10;
 
 }  // namespace zincstep
--- a/Zincstep/Once/ClaimRound.cpp
+++ b/Zincstep/Once/ClaimRound.cpp
@@ -8,18 +8,18 @@
                        Instant aDeadline)
     : claim(std::move(aClaim)), epoch(aLists.Epoch()), deadline(aDeadline) {
   for (const MemberList& list : aLists.lists) {
-    Ballot ballot;
+    Tally tally;
     for (const std::string& witness : WitnessesOf(list, this->claim.key)) {
-      // A member that has taken over others' memory votes once for each.
-      ballot.witnesses.push_back(aLists.Resolve(witness));
+      // A member that took over the claims of others votes once for each.
+      tally.witnesses.push_back(aLists.Resolve(witness));
     }
-    ballot.open = ballot.AllVotes();
-    this->waiting.insert(ballot.witnesses.begin(), ballot.witnesses.end());
-    this->ballots.push_back(std::move(ballot));
+    tally.outstanding = tally.TotalVotes();
+    this->pending.insert(tally.witnesses.begin(), tally.witnesses.end());
+    this->tallies.push_back(std::move(tally));
   }
 }
 
-std::size_t ClaimRound::Ballot::VotesOf(const std::string& aMember) const {
+std::size_t ClaimRound::Tally::VotesOf(const std::string& aMember) const {
   std::size_t votes = 0;
   for (std::size_t i = 0; i < this->witnesses.size(); ++i) {
     votes += this->witnesses[i] == aMember ? this->VotesOf(i) : 0;
@@ -27,7 +27,7 @@
   return votes;
 }
 
-std::size_t ClaimRound::Ballot::AllVotes() const {
+std::size_t ClaimRound::Tally::TotalVotes() const {
   std::size_t votes = 0;
   for (std::size_t i = 0; i < this->witnesses.size(); ++i) {
     votes += this->VotesOf(i);
@@ -35,47 +35,48 @@
   return votes;
 }
 
-std::vector<std::string> ClaimRound::Asked() const {
-  return {this->waiting.begin(), this->waiting.end()};
+std::vector<std::string> ClaimRound::PendingWitnesses() const {
+  return {this->pending.begin(), this->pending.end()};
 }
 
 std::vector<std::string> ClaimRound::Granted() const {
   return {this->granted.begin(), this->granted.end()};
 }
 
-std::optional<ClaimVerdict> ClaimRound::Settle(ClaimVerdict aVerdict) {
+std::optional<ClaimVerdict> ClaimRound::Decide(ClaimVerdict aVerdict) {
   this->verdict = aVerdict;
   return aVerdict;
 }
 
-std::optional<ClaimVerdict> ClaimRound::Count(const std::string& aMember,
-                                              bool aGranted) {
-  bool won = !this->ballots.empty();
-  bool hopeless = this->ballots.empty();
-  for (Ballot& ballot : this->ballots) {
-    const std::size_t votes = ballot.VotesOf(aMember);
-    ballot.open -= votes;
-    ballot.granted += aGranted ? votes : 0;
-    won = won && ballot.granted >= ballot.Majority();
-    hopeless = hopeless || ballot.granted + ballot.open < ballot.Majority();
+std::optional<ClaimVerdict> ClaimRound::CountVote(const std::string& aMember,
+                                                  bool aIsGrant) {
+  bool hasWon = !this->tallies.empty();
+  bool cannotWin = this->tallies.empty();
+  for (Tally& tally : this->tallies) {
+    const std::size_t votes = tally.VotesOf(aMember);
+    tally.outstanding -= votes;
+    tally.granted += aIsGrant ? votes : 0;
+    hasWon = hasWon && tally.granted >= tally.Majority();
+    cannotWin =
+        cannotWin || tally.granted + tally.outstanding < tally.Majority();
   }
-  if (won) {
-    return this->Settle(ClaimVerdict::Won);
+  if (hasWon) {
+    return this->Decide(ClaimVerdict::Won);
   }
-  if (!hopeless) {
+  if (!cannotWin) {
     return std::nullopt;
   }
-  if (this->sawHolder) {
-    return this->Settle(ClaimVerdict::HeldByOther);
+  if (this->sawOwner) {
+    return this->Decide(ClaimVerdict::HeldByOther);
   }
-  return this->Settle(this->sawFull ? ClaimVerdict::Full
+  return this->Decide(this->sawFull ? ClaimVerdict::Full
                                     : ClaimVerdict::NoQuorum);
 }
 
 std::optional<ClaimVerdict> ClaimRound::OnVote(const std::string& aMember,
                                                const ClaimVote& aVote,
                                                Instant aNow) {
-  if (this->waiting.erase(aMember) == 0) {
+  if (this->pending.erase(aMember) == 0) {
     return std::nullopt;
   }
   const bool isGrant = aVote.kind == ClaimVote::Kind::Granted;
@@ -89,30 +90,31 @@
     return this->OnTimeout();
   }
   if (aVote.kind == ClaimVote::Kind::HeldByOther) {
-    this->holder = aVote.claim;
-    this->sawHolder = true;
+    this->owner = aVote.claim;
+    this->sawOwner = true;
     if (aVote.claim.state != ClaimState::Claimed) {
-      return this->Settle(ClaimVerdict::HeldByOther);
+      return this->Decide(ClaimVerdict::HeldByOther);
     }
-    // A mere claim may be one that is losing this very moment: only a
-    // majority decides.
+    // The other claim may be losing its own round, so that only a majority of
+    // the witnesses decides.
   }
   this->sawFull = this->sawFull || aVote.kind == ClaimVote::Kind::Full;
-  return this->Count(aMember, isGrant);
+  return this->CountVote(aMember, isGrant);
 }
 
-std::optional<ClaimVerdict> ClaimRound::OnLost(const std::string& aMember) {
-  if (this->verdict || this->waiting.erase(aMember) == 0) {
+std::optional<ClaimVerdict> ClaimRound::OnUnreachable(
+    const std::string& aMember) {
+  if (this->verdict || this->pending.erase(aMember) == 0) {
     return std::nullopt;
   }
-  return this->Count(aMember, false);
+  return this->CountVote(aMember, false);
 }
 
 std::optional<ClaimVerdict> ClaimRound::OnTimeout() {
   if (this->verdict) {
     return std::nullopt;
   }
-  return this->Settle(ClaimVerdict::NoQuorum);
+  return this->Decide(ClaimVerdict::NoQuorum);
 }
 
 }  // namespace zincstep
--- a/Zincstep/Once/MemberLists.cpp
+++ b/Zincstep/Once/MemberLists.cpp
@@ -9,13 +9,16 @@
 
 using Json = nlohmann::json;
 
-constexpr int kMostHandOvers = 64;
+/// Maximum number of handovers that `Resolve` follows; bounds the loop if the
+/// entries form a cycle.
+constexpr int kMaxHandovers = 64;
 
-struct Ranked {
+/// A name with its rendezvous score; sorts by descending score.
+struct ScoredName {
   std::uint64_t score = 0;
   std::string name;
 
-  bool operator<(const Ranked& aOther) const {
+  bool operator<(const ScoredName& aOther) const {
     return this->score != aOther.score ? this->score > aOther.score
                                        : this->name < aOther.name;
   }
@@ -25,7 +28,7 @@
 
 std::string MemberLists::Resolve(const std::string& aName) const {
   std::string name = aName;
-  for (int i = 0; i < kMostHandOvers; ++i) {
+  for (int i = 0; i < kMaxHandovers; ++i) {
     const auto next = this->handedTo.find(name);
     if (next == this->handedTo.end()) {
       break;
@@ -80,22 +83,21 @@
     lists.handedTo =
         json.at("handed_to").get<std::map<std::string, std::string>>();
     return lists;
-  } catch (const Json::exception& fault) {
-    return Fail(
-        ErrorKind::Internal,
-        std::string("the member lists cannot be read: ") + fault.what());
+  } catch (const Json::exception& error) {
+    return Fail(ErrorKind::Internal,
+                std::string("cannot parse the member lists: ") + error.what());
   }
 }
 
 std::vector<std::string> WitnessesOf(const MemberList& aList,
                                      const std::string& aKey) {
   const std::uint64_t key = Hash64(aKey);
-  std::map<std::string, std::vector<Ranked>> byDomain;
+  std::map<std::string, std::vector<ScoredName>> byDomain;
   for (const Member& member : aList.members) {
     byDomain[member.failureDomain].push_back(
         {RendezvousScore(key, member.name), member.name});
   }
-  std::vector<Ranked> domains;
+  std::vector<ScoredName> domains;
   for (auto& [domain, members] : byDomain) {
     std::sort(members.begin(), members.end());
     domains.push_back({RendezvousScore(key, domain), domain});
@@ -103,14 +105,14 @@
   std::sort(domains.begin(), domains.end());
   std::vector<std::string> witnesses;
   for (std::size_t round = 0; witnesses.size() < kWitnesses; ++round) {
-    const std::size_t before = witnesses.size();
-    for (const Ranked& domain : domains) {
-      const std::vector<Ranked>& members = byDomain[domain.name];
+    const std::size_t previousCount = witnesses.size();
+    for (const ScoredName& domain : domains) {
+      const std::vector<ScoredName>& members = byDomain[domain.name];
       if (round < members.size() && witnesses.size() < kWitnesses) {
         witnesses.push_back(members[round].name);
       }
     }
-    if (witnesses.size() == before) {
+    if (witnesses.size() == previousCount) {
       break;
     }
   }
--- a/Zincstep/Once/Once.h
+++ b/Zincstep/Once/Once.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// \file
-/// Public header of the library for requests that run at most once.
+/// Public header of the library that makes requests with an idempotency key run
+/// at most once.
 
 #include "Zincstep/Once/Claim.h"
 #include "Zincstep/Once/ClaimRound.h"
--- a/Zincstep/Once/WitnessTable.cpp
+++ b/Zincstep/Once/WitnessTable.cpp
@@ -4,15 +4,16 @@
 
 namespace {
 
-/// Memory of an entry beside its texts: nodes, pointers and the expiry.
+/// Memory of an entry besides its strings, in bytes: map node, pointers and
+/// expiry.
 constexpr std::size_t kEntryOverhead = 384;
 
 }  // namespace
 
 std::size_t WitnessTable::SizeOf(const Claim& aClaim) {
   return kEntryOverhead + 2 * aClaim.key.size() +
-         aClaim.claimant.member.size() + aClaim.answer.body.size() +
-         aClaim.answer.contentType.size();
+         aClaim.claimant.member.size() + aClaim.response.body.size() +
+         aClaim.response.contentType.size();
 }
 
 void WitnessTable::Put(const Claim& aClaim, Instant aNow) {
@@ -20,24 +21,24 @@
   if (found != this->entries.end()) {
     this->bytes -= SizeOf(found->second.claim);
   }
-  const Instant until = aNow + this->settings.memory;
-  this->entries[aClaim.key] = {aClaim, until};
+  const Instant expiresAt = aNow + this->settings.retention;
+  this->entries[aClaim.key] = {aClaim, expiresAt};
   this->bytes += SizeOf(aClaim);
-  this->expiries.push_back({until, aClaim.key});
+  this->expiries.push_back({expiresAt, aClaim.key});
 }
 
-ClaimVote WitnessTable::Ask(const Claim& aClaim, Instant aNow) {
+ClaimVote WitnessTable::Vote(const Claim& aClaim, Instant aNow) {
   if (this->closed) {
     return {ClaimVote::Kind::Closed, {}};
   }
   this->Expire(aNow);
   const auto found = this->entries.find(aClaim.key);
   if (found != this->entries.end()) {
-    const Claim& held = found->second.claim;
-    const bool mine =
-        held.claimant == aClaim.claimant && held.state == ClaimState::Claimed;
-    return {mine ? ClaimVote::Kind::Granted : ClaimVote::Kind::HeldByOther,
-            held};
+    const Claim& existing = found->second.claim;
+    const bool isOwner = existing.claimant == aClaim.claimant &&
+                         existing.state == ClaimState::Claimed;
+    return {isOwner ? ClaimVote::Kind::Granted : ClaimVote::Kind::HeldByOther,
+            existing};
   }
   if (this->bytes + SizeOf(aClaim) > this->settings.maxBytes) {
     return {ClaimVote::Kind::Full, {}};
@@ -48,10 +49,10 @@
 
 void WitnessTable::Release(const std::string& aKey, const Claimant& aClaimant) {
   const auto found = this->entries.find(aKey);
-  const bool mine = found != this->entries.end() &&
-                    found->second.claim.claimant == aClaimant &&
-                    found->second.claim.state == ClaimState::Claimed;
-  if (mine && !this->closed) {
+  const bool isOwner = found != this->entries.end() &&
+                       found->second.claim.claimant == aClaimant &&
+                       found->second.claim.state == ClaimState::Claimed;
+  if (isOwner && !this->closed) {
     this->bytes -= SizeOf(found->second.claim);
     this->entries.erase(found);
   }
@@ -59,11 +60,13 @@
 
 void WitnessTable::Finish(const Claim& aClaim, Instant aNow) {
   const auto found = this->entries.find(aClaim.key);
-  // Only a winner finishes: a mere claim of another run has lost.
-  const bool others = found != this->entries.end() &&
-                      found->second.claim.claimant != aClaim.claimant &&
-                      found->second.claim.state != ClaimState::Claimed;
-  if (!others && !this->closed) {
+  // Only the winner of a round calls this, so that the claim of another run in
+  // state `Claimed` has lost.
+  const bool isFinishedByOther =
+      found != this->entries.end() &&
+      found->second.claim.claimant != aClaim.claimant &&
+      found->second.claim.state != ClaimState::Claimed;
+  if (!isFinishedByOther && !this->closed) {
     this->Put(aClaim, aNow);
   }
 }
@@ -71,7 +74,7 @@
 void WitnessTable::Expire(Instant aNow) {
   while (!this->expiries.empty() && this->expiries.front().at <= aNow) {
     const auto found = this->entries.find(this->expiries.front().key);
-    if (found != this->entries.end() && found->second.until <= aNow) {
+    if (found != this->entries.end() && found->second.expiresAt <= aNow) {
       this->bytes -= SizeOf(found->second.claim);
       this->entries.erase(found);
     }
@@ -89,20 +92,21 @@
   return claims;
 }
 
-void WitnessTable::Adopt(const std::vector<Claim>& aClaims, Instant aNow) {
+void WitnessTable::Merge(const std::vector<Claim>& aClaims, Instant aNow) {
   for (Claim claim : aClaims) {
     const auto found = this->entries.find(claim.key);
     if (found == this->entries.end()) {
       this->Put(claim, aNow);
       continue;
     }
-    const Claim& own = found->second.claim;
-    if (own.state != ClaimState::Claimed || own.claimant == claim.claimant) {
+    const Claim& existing = found->second.claim;
+    if (existing.state != ClaimState::Claimed ||
+        existing.claimant == claim.claimant) {
       continue;
     }
     if (claim.state == ClaimState::Claimed) {
-      // Each of the two witnesses has given its vote to another run. One
-      // table cannot keep both promises, so that it grants to neither.
+      // The two witnesses granted the key to different claimants. The merged
+      // table cannot honour both grants, so that it honours neither.
       claim.state = ClaimState::Unknown;
     }
     this->Put(claim, aNow);
--- a/Zincstep/Once/WitnessTable.h
+++ b/Zincstep/Once/WitnessTable.h
@@ -11,42 +11,50 @@
 
 /// Settings of a witness table.
 struct WitnessTableSettings {
-  Micros memory = kKeyRetention;
-  /// Bytes that all keys together may take.
+  /// Time for which a key is kept after its last change.
+  Micros retention = kKeyRetention;
+  /// Maximum memory of all keys together, in bytes.
   std::size_t maxBytes = 64 << 20;
 };
 
-/// What one daemon remembers, as a witness, of the keys of requests.
+/// The claims that one daemon stores as a witness.
 ///
-/// The first claimant of a key gets it; every other one is told who has
-/// it. The table lives in memory only, which is why a key has several
-/// witnesses. It never forgets a key early to make room: it refuses new
-/// ones, since forgetting could let a request run twice.
+/// A witness grants a key to its first claimant, and returns that claim to
+/// every other one. The table is in memory only; a key has several witnesses so
+/// that it survives the loss of one. The table never evicts a key early but
+/// refuses new ones when it is full, since an evicted key could let a request
+/// run twice.
 class WitnessTable {
  public:
   explicit WitnessTable(WitnessTableSettings aSettings) : settings(aSettings) {}
 
   /// Votes on a claim.
-  ClaimVote Ask(const Claim& aClaim, Instant aNow);
-  /// The claimant has certainly not run the request: the key is free again.
+  ClaimVote Vote(const Claim& aClaim, Instant aNow);
+  /// Removes a claim whose claimant certainly hasn't run the request, so that
+  /// the key can be claimed again.
   void Release(const std::string& aKey, const Claimant& aClaimant);
-  /// The claimant's request has ended.
+  /// Records the result of a request that has ended.
   void Finish(const Claim& aClaim, Instant aNow);
-  /// Forgets the keys whose time has passed.
+  /// Removes the keys that have expired.
   void Expire(Instant aNow);
-  /// Stops voting for good and gives all claims, to be handed over.
+  /// Stops voting permanently and returns all claims, for the handover to
+  /// another member.
   std::vector<Claim> Close();
-  /// Takes over claims of a witness that has closed.
-  void Adopt(const std::vector<Claim>& aClaims, Instant aNow);
+  /// Adds the claims of a witness that has closed. A key that both witnesses
+  /// granted to different claimants becomes `Unknown`.
+  void Merge(const std::vector<Claim>& aClaims, Instant aNow);
 
+  /// Number of keys.
   std::size_t Size() const { return this->entries.size(); }
+  /// Estimated memory of all keys, in bytes.
   std::size_t Bytes() const { return this->bytes; }
+  /// Whether `Close` was called.
   bool IsClosed() const { return this->closed; }
 
  private:
   struct Entry {
     Claim claim;
-    Instant until;
+    Instant expiresAt;
   };
   struct Expiry {
     Instant at;
@@ -58,7 +66,8 @@
 
   WitnessTableSettings settings;
   std::unordered_map<std::string, Entry> entries;
-  /// In the order of time; an entry that was renewed has a later one too.
+  /// In order of time; an entry that was updated has several expiries, of which
+  /// the last one counts.
   std::deque<Expiry> expiries;
   std::size_t bytes = 0;
   bool closed = false;
