--- a/Zincstep/Sequence/HopMonitor.cpp
+++ b/Zincstep/Sequence/HopMonitor.cpp
@@ -7,57 +7,59 @@
 
 namespace {
 
-/// Deviations that a gap may be longer than the average.
+/// Mean deviations by which a gap may exceed the average.
 constexpr double kGapDeviations = 4;
-/// Times the ordinary that a sample may take without counting as slow.
+/// Multiple of the baseline above which a sample is slow.
 constexpr double kSlowRatio = 2;
-/// Least ordinary time; below it, ratios say nothing.
-constexpr double kLeastOrdinary = 1000;
+/// Minimum baseline, in microseconds; ratios of shorter times are noise.
+constexpr double kMinBaseline = 1000;
 
-double Count(Micros aSpan) { return static_cast<double>(aSpan.count()); }
+/// Microseconds of a time span.
+double Microseconds(Micros aSpan) { return static_cast<double>(aSpan.count()); }
 
 }  // namespace
 
 void HopMonitor::OnAttempt(std::size_t aHops, Instant aNow) {
   this->computes.assign(aHops, {});
   this->links.assign(aHops, {});
-  this->interval = 0;
+  this->meanInterval = 0;
   this->deviation = 0;
   this->tokens = 0;
   this->lastProgress = aNow;
 }
 
-bool HopMonitor::AddSample(Track& aTrack, Micros aSample) {
-  const double sample = Count(aSample);
-  aTrack.samples += 1;
-  if (aTrack.samples == 1) {
-    aTrack.ordinary = sample;
+bool HopMonitor::AddSample(HopStatistics& aStatistics, Micros aSample) {
+  const double sample = Microseconds(aSample);
+  aStatistics.samples += 1;
+  if (aStatistics.samples == 1) {
+    aStatistics.baseline = sample;
     return false;
   }
-  const double ordinary = std::max(aTrack.ordinary, kLeastOrdinary);
-  const double over = sample - kSlowRatio * ordinary;
-  aTrack.excess = std::max(0.0, aTrack.excess + over);
-  if (over <= 0) {
-    aTrack.ordinary += this->settings.weight * (sample - aTrack.ordinary);
+  const double baseline = std::max(aStatistics.baseline, kMinBaseline);
+  const double overrun = sample - kSlowRatio * baseline;
+  aStatistics.excess = std::max(0.0, aStatistics.excess + overrun);
+  if (overrun <= 0) {
+    aStatistics.baseline +=
+        this->settings.weight * (sample - aStatistics.baseline);
   }
-  const double limit = std::max(Count(this->settings.slowExcess),
-                                this->settings.slowSteps * ordinary);
-  return aTrack.excess > limit;
+  const double limit = std::max(Microseconds(this->settings.slowExcess),
+                                this->settings.slowSteps * baseline);
+  return aStatistics.excess > limit;
 }
 
 std::optional<SlowHop> HopMonitor::OnToken(const TokenEvent& aEvent,
                                            Instant aNow) {
-  const double sample = Count(aNow - this->lastProgress);
+  const double sample = Microseconds(aNow - this->lastProgress);
   this->lastProgress = aNow;
   this->tokens += 1;
   if (this->tokens == 2) {
-    this->interval = sample;
+    this->meanInterval = sample;
     this->deviation = sample / 2;
   } else if (this->tokens > 2) {
-    const double off = sample - this->interval;
-    this->interval += this->settings.weight * off;
+    const double difference = sample - this->meanInterval;
+    this->meanInterval += this->settings.weight * difference;
     this->deviation +=
-        this->settings.weight * (std::abs(off) - this->deviation);
+        this->settings.weight * (std::abs(difference) - this->deviation);
   }
   std::optional<SlowHop> slow;
   const std::size_t hops =
@@ -76,33 +78,34 @@
   return slow;
 }
 
-Micros HopMonitor::GapLimit() const {
+Micros HopMonitor::GapTimeout() const {
   if (this->tokens < 2) {
-    return this->settings.firstTokenLimit;
+    return this->settings.firstTokenTimeout;
   }
   const double limit =
-      std::max(this->settings.gapFactor * this->interval,
-               this->interval + kGapDeviations * this->deviation);
-  return std::max(this->settings.minGap,
+      std::max(this->settings.gapFactor * this->meanInterval,
+               this->meanInterval + kGapDeviations * this->deviation);
+  return std::max(this->settings.minGapTimeout,
                   Micros{static_cast<std::int64_t>(limit)});
 }
 
-Micros HopMonitor::ProbeLimit() const {
-  const double share = this->settings.probeShare * Count(this->GapLimit());
+Micros HopMonitor::ProbeDelay() const {
+  const double share =
+      this->settings.probeShare * Microseconds(this->GapTimeout());
   return Micros{static_cast<std::int64_t>(share)};
 }
 
 bool HopMonitor::ShouldProbe(Instant aNow) const {
-  return this->Gap(aNow) >= this->ProbeLimit();
+  return this->Gap(aNow) >= this->ProbeDelay();
 }
 
 bool HopMonitor::IsHung(Instant aNow) const {
-  return this->Gap(aNow) >= this->GapLimit();
+  return this->Gap(aNow) >= this->GapTimeout();
 }
 
 Instant HopMonitor::NextCheck(Instant aNow) const {
-  const Instant probe = this->lastProgress + this->ProbeLimit();
-  return probe > aNow ? probe : this->lastProgress + this->GapLimit();
+  const Instant probe = this->lastProgress + this->ProbeDelay();
+  return probe > aNow ? probe : this->lastProgress + this->GapTimeout();
 }
 
 }  // namespace zincstep
--- a/Zincstep/Sequence/HopMonitor.h
+++ b/Zincstep/Sequence/HopMonitor.h
@@ -9,71 +9,72 @@
 
 /// Settings of the failure detector of one stream.
 struct HopMonitorSettings {
-  /// A gap shorter than this is never taken for a failure.
-  Micros minGap = 200ms;
-  /// A probe of the stages goes out at this share of the limit.
+  /// Minimum gap between tokens that counts as a failure.
+  Micros minGapTimeout = 200ms;
+  /// Share of the gap timeout after which the stages are probed.
   double probeShare = 0.5;
-  /// Limit of a gap, as a multiple of the ordinary time between tokens.
+  /// Gap timeout, as a multiple of the average time between tokens.
   double gapFactor = 1.6;
-  /// Limit of the wait for the first token, for prefill and queues.
-  Micros firstTokenLimit = 5s;
-  /// Excess time over the ordinary that makes a hop slow.
+  /// Timeout until the second token; allows for prefill and queueing.
+  Micros firstTokenTimeout = 5s;
+  /// Accumulated excess over the baseline after which a hop is slow.
   Micros slowExcess = 80ms;
-  /// Ordinary steps whose excess makes a hop slow, if that is longer.
+  /// The same in multiples of the baseline; the longer of the two applies.
   double slowSteps = 3;
-  /// Weight of a new sample in the averages.
+  /// Weight of a new sample in the moving averages.
   double weight = 0.2;
 };
 
-/// A hop that has become slow, as the stream's own tokens show.
+/// A hop that has become slow, according to the stream's own tokens.
 struct SlowHop {
   int hop = 0;
-  /// The way from this hop to the next one is slow, not the hop's layers.
+  /// The link from this hop to the next one is slow, not the hop itself.
   bool isLink = false;
 };
 
-/// Watches one stream for a stage that died, hangs or has become slow.
+/// Detects that a stage of one stream has died, hangs or has become slow.
 ///
-/// A gap is judged against the stream's own time between tokens. A slow
-/// hop is found by a cumulative sum (CUSUM, Page 1954): each token adds
-/// what it took beyond twice the ordinary time, and a sum past the limit
-/// is a change, however it is spread. The ordinary time is not learnt
-/// from samples that count as slow. Queueing is left out of the sum: a
-/// busy upstream is the planner's matter, not a failure.
+/// The timeout of a gap follows from the stream's own average time between
+/// tokens. A slow hop is detected by a cumulative sum (CUSUM, Page 1954): each
+/// token adds its time in excess of twice the baseline, so that a change is
+/// found whether it is one large delay or many small ones. Slow samples don't
+/// update the baseline. Queueing time is left out: load on an upstream is
+/// handled by the chain planner and isn't a failure.
 class HopMonitor {
  public:
   explicit HopMonitor(HopMonitorSettings aSettings) : settings(aSettings) {}
 
-  /// An attempt over `aHops` hops begins.
+  /// Resets the monitor for an attempt over `aHops` hops.
   void OnAttempt(std::size_t aHops, Instant aNow);
-  /// A token was accepted; names a hop that its report shows to be slow.
+  /// Updates the averages from an accepted token. Returns the first hop that
+  /// its stage reports show to be slow, if any.
   std::optional<SlowHop> OnToken(const TokenEvent& aEvent, Instant aNow);
 
-  /// Whether the present gap is long enough to ask the stages.
+  /// Whether the current gap is long enough to probe the stages.
   bool ShouldProbe(Instant aNow) const;
-  /// Whether the present gap is a failure.
+  /// Whether the current gap has reached its timeout.
   bool IsHung(Instant aNow) const;
-  /// When `ShouldProbe` or `IsHung` can next change.
+  /// Time at which `ShouldProbe` or `IsHung` can next become true.
   Instant NextCheck(Instant aNow) const;
-  /// Time since the last sign of progress.
+  /// Time since the last token, or since the attempt started.
   Micros Gap(Instant aNow) const { return aNow - this->lastProgress; }
-  /// Limit of a gap now.
-  Micros GapLimit() const;
+  /// Current timeout of a gap.
+  Micros GapTimeout() const;
 
  private:
-  struct Track {
-    double ordinary = 0;
+  struct HopStatistics {
+    double baseline = 0;
     double excess = 0;
     int samples = 0;
   };
 
-  bool AddSample(Track& aTrack, Micros aSample);
-  Micros ProbeLimit() const;
+  bool AddSample(HopStatistics& aStatistics, Micros aSample);
+  Micros ProbeDelay() const;
 
   HopMonitorSettings settings;
-  std::vector<Track> computes;
-  std::vector<Track> links;
-  double interval = 0;
+  std::vector<HopStatistics> computes;
+  std::vector<HopStatistics> links;
+  double meanInterval = 0;
   double deviation = 0;
   int tokens = 0;
   Instant lastProgress;
--- a/Zincstep/Sequence/Sequence.h
+++ b/Zincstep/Sequence/Sequence.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// \file
-/// Public header of the sequence library: token steps and recovery.
+/// Public header of the sequence library: filtering of token events, failure
+/// detection and stream recovery.
 
 #include "Zincstep/Sequence/HopMonitor.h"
 #include "Zincstep/Sequence/StepFilter.h"
--- a/Zincstep/Sequence/StepFilter.cpp
+++ b/Zincstep/Sequence/StepFilter.cpp
@@ -3,19 +3,19 @@
 namespace zincstep {
 
 bool StepFilter::CoversAllLayers(const TokenEvent& aEvent) const {
-  int next = 0;
+  int nextLayer = 0;
   for (const StageReport& stage : aEvent.stages) {
-    if (stage.layers.first != next || stage.layers.Size() <= 0) {
+    if (stage.layers.first != nextLayer || stage.layers.Size() <= 0) {
       return false;
     }
-    next = stage.layers.last;
+    nextLayer = stage.layers.last;
   }
-  return next == this->layers;
+  return nextLayer == this->layers;
 }
 
-StepVerdict StepFilter::VerdictOn(const TokenEvent& aEvent) const {
+StepVerdict StepFilter::Check(const TokenEvent& aEvent) const {
   if (aEvent.request != this->request) {
-    return StepVerdict::Foreign;
+    return StepVerdict::OtherRequest;
   }
   if (!this->isOpen || aEvent.attempt != this->attempt) {
     return StepVerdict::Stale;
@@ -24,16 +24,16 @@
     return StepVerdict::Duplicate;
   }
   if (aEvent.position > this->nextPosition) {
-    return StepVerdict::Early;
+    return StepVerdict::OutOfOrder;
   }
   if (!this->CoversAllLayers(aEvent)) {
-    return StepVerdict::BrokenCover;
+    return StepVerdict::InvalidLayers;
   }
   return StepVerdict::Accepted;
 }
 
-StepVerdict StepFilter::Judge(const TokenEvent& aEvent) {
-  const StepVerdict verdict = this->VerdictOn(aEvent);
+StepVerdict StepFilter::Apply(const TokenEvent& aEvent) {
+  const StepVerdict verdict = this->Check(aEvent);
   this->counts[static_cast<std::size_t>(verdict)] += 1;
   if (verdict == StepVerdict::Accepted) {
     this->nextPosition += 1;
--- a/Zincstep/Sequence/StepFilter.h
+++ b/Zincstep/Sequence/StepFilter.h
@@ -7,64 +7,66 @@
 
 namespace zincstep {
 
-/// What the ledger says of a token event.
+/// Result of checking a token event.
 enum class StepVerdict {
-  /// The next token of the answer: pass it on.
+  /// The next token of the answer, to be forwarded.
   Accepted,
-  /// Of another request.
-  Foreign,
-  /// Of an attempt that has been given up.
+  /// The event belongs to another request.
+  OtherRequest,
+  /// The event belongs to an abandoned attempt.
   Stale,
-  /// Its position has been passed on before.
+  /// A token at this position was accepted before.
   Duplicate,
-  /// Its position lies beyond the next one.
-  Early,
-  /// Its stages do not cover every layer once and in order.
-  BrokenCover,
+  /// The position is beyond the next one: at least one token is missing.
+  OutOfOrder,
+  /// The stages do not cover every layer exactly once and in order.
+  InvalidLayers,
 };
 
 inline constexpr NameTable<StepVerdict, 6> kStepVerdictNames{{
     {StepVerdict::Accepted, "accepted"},
-    {StepVerdict::Foreign, "foreign"},
+    {StepVerdict::OtherRequest, "foreign"},
     {StepVerdict::Stale, "stale"},
     {StepVerdict::Duplicate, "duplicate"},
-    {StepVerdict::Early, "early"},
-    {StepVerdict::BrokenCover, "broken_cover"},
+    {StepVerdict::OutOfOrder, "early"},
+    {StepVerdict::InvalidLayers, "broken_cover"},
 }};
 
 using StepCounts = std::array<std::uint64_t, kStepVerdictNames.size()>;
 
-/// Decides for one request which token events are part of its answer.
+/// Selects the token events that are part of one request's answer.
 ///
-/// A step is named by (request, attempt, position, layer range). Attempts
-/// only rise and a position is accepted once, so that whatever comes late,
-/// twice, out of order or from another request changes nothing.
+/// A step is identified by (request, attempt, position, layer range). Attempt
+/// numbers only rise and each position is accepted once, so that events that
+/// are late, duplicated, out of order or of another request have no effect.
 class StepFilter {
  public:
-  /// Attempts are numbered from `aFirstAttempt` on.
+  /// `aFirstAttempt` is the number of the first attempt.
   StepFilter(std::uint64_t aRequest, int aLayers, int aFirstAttempt = 1)
       : request(aRequest), layers(aLayers), attempt(aFirstAttempt - 1) {}
 
-  /// Opens a further attempt; events of all earlier ones are stale.
+  /// Opens the next attempt and returns its number. Events of all earlier
+  /// attempts are stale.
   int OpenAttempt() {
     this->isOpen = true;
     return ++this->attempt;
   }
-  /// Closes the attempt: its events are stale from now on.
+  /// Closes the current attempt. Its events are stale from now on.
   void CloseAttempt() { this->isOpen = false; }
 
-  /// Judges an event, and moves to the next position if it is accepted.
-  StepVerdict Judge(const TokenEvent& aEvent);
+  /// Checks an event, counts the verdict, and advances to the next position if
+  /// the event is accepted.
+  StepVerdict Apply(const TokenEvent& aEvent);
 
-  /// The attempt that is open, 0 before the first.
+  /// The current attempt; `aFirstAttempt` - 1 before the first one.
   int Attempt() const { return this->attempt; }
-  /// The position of the next token; also the number of tokens so far.
+  /// Position of the next token, which is the number of accepted tokens.
   int NextPosition() const { return this->nextPosition; }
-  /// How often each verdict was given.
+  /// Number of events by verdict.
   const StepCounts& Counts() const { return this->counts; }
 
  private:
-  StepVerdict VerdictOn(const TokenEvent& aEvent) const;
+  StepVerdict Check(const TokenEvent& aEvent) const;
   bool CoversAllLayers(const TokenEvent& aEvent) const;
 
   std::uint64_t request;
--- a/Zincstep/Sequence/StreamMachine.h
+++ b/Zincstep/Sequence/StreamMachine.h
@@ -11,19 +11,19 @@
 
 namespace zincstep {
 
-/// How a stage of a new attempt gets the cache of the tokens so far.
+/// How a stage of a new attempt gets the KV cache of the tokens so far.
 enum class CacheSource {
-  /// It computes it from the tokens.
+  /// The stage computes it again from the tokens.
   Replay,
-  /// It holds it from an earlier attempt.
-  Keep,
-  /// It fetches it from the upstream that held it before.
+  /// The stage still has it from an earlier attempt.
+  Reuse,
+  /// The stage fetches it from the upstream that ran these layers before.
   Import,
 };
 
 inline constexpr NameTable<CacheSource, 3> kCacheSourceNames{{
     {CacheSource::Replay, "replay"},
-    {CacheSource::Keep, "keep"},
+    {CacheSource::Reuse, "keep"},
     {CacheSource::Import, "import"},
 }};
 
@@ -35,53 +35,53 @@
   int importFrom = -1;
 };
 
-/// Asks the daemon to run the chain from the next token on.
+/// Action: run the chain from the next token on.
 struct StartAttempt {
   int attempt = 0;
   Chain chain;
   std::vector<AttemptStage> stages;
 };
 
-/// Asks the daemon to stop listening to an attempt; caches stay.
+/// Action: ignore further events of an attempt. The stages keep their caches.
 struct AbandonAttempt {
   int attempt = 0;
 };
 
-/// Asks the daemon to free the sequence on these upstreams.
+/// Action: free the sequence on these upstreams.
 struct ReleaseStages {
   int attempt = 0;
   std::vector<int> replicas;
 };
 
-/// Asks the daemon to pass a token to the caller.
+/// Action: forward a token to the caller.
 struct EmitToken {
   int position = 0;
   std::int32_t token = 0;
   std::string text;
 };
 
-/// Asks the daemon to ask the stages how far they are.
+/// Action: query the progress of all stages.
 struct ProbeStages {
   int attempt = 0;
   Chain chain;
 };
 
-/// Tells the daemon that an upstream did badly in this stream.
+/// Action: record that an upstream failed in this stream.
 struct ReportHopFailure {
   int replica = 0;
   HopFailure failure = HopFailure::Dead;
 };
 
-/// The answer is whole.
+/// Action: complete the answer.
 struct FinishStream {
-  /// `stop` where the model ended it, `length` at the limit.
+  /// `stop` if the model ended the answer, `length` if it reached `maxTokens`.
   std::string reason;
 };
 
-/// The answer cannot be completed.
+/// Action: fail the request, as its answer cannot be completed.
 struct FailStream {
   Error error;
-  /// Tokens that the caller has been given.
+  /// Number of tokens already forwarded to the caller.
   int tokens = 0;
 };
 
@@ -90,15 +90,15 @@
                  ProbeStages, ReportHopFailure, FinishStream, FailStream>;
 using StreamActions = std::vector<StreamAction>;
 
-/// Gives a stream other chains when one has failed.
+/// Selects another chain for a stream when its chain has failed.
 class ChainRepairer {
  public:
   virtual ~ChainRepairer() = default;
 
-  /// A chain without the failed hops of `aChain`.
+  /// Returns a chain that doesn't use the failed hops of `aChain`.
   ///
-  /// As a last resort, upstreams that are suspected may be in it again:
-  /// they may have been slow for a moment only.
+  /// With `aLastResort` the chain may contain suspected upstreams, which may
+  /// only have been slow for a moment.
   virtual Result<Chain> Repair(const Chain& aChain,
                                const std::vector<bool>& aFailed, Instant aNow,
                                bool aLastResort) = 0;
@@ -108,31 +108,34 @@
 struct StreamSettings {
   HopMonitorSettings monitor;
   int maxTokens = 256;
-  /// Number of the first attempt: above those of an earlier start.
+  /// Number of the first attempt; higher than the numbers that an earlier start
+  /// of the request used.
   int firstAttempt = 1;
-  /// Attempts after which the stream is given up.
+  /// Maximum number of attempts before the stream fails.
   int maxAttempts = 8;
-  /// Pause before a try where no chain was whole.
-  Micros noChainPause = 200ms;
-  /// Time without a whole chain after which the stream is given up.
+  /// Interval between searches while no complete chain is available.
+  Micros noChainRetryInterval = 200ms;
+  /// Time without a complete chain after which the stream fails.
   Micros noChainTimeout = 3s;
   std::optional<Instant> deadline;
 };
 
-/// How far a stage has come, by its own word.
+/// A stage's own report of its progress.
 struct StageProgress {
-  bool answered = false;
-  /// It holds a step that it has not handed on.
+  /// The stage has responded to the probe.
+  bool hasResponded = false;
+  /// The stage has a step that it has not forwarded yet.
   bool holdsStep = false;
-  /// It has handed a step on and waits for the next stage's answer.
+  /// The stage has forwarded a step and waits for the next stage's response.
   bool waitsForNext = false;
 };
 
-/// The life of one model request after its admission: pure decisions.
+/// State machine of one model request after its admission.
 ///
-/// It takes events and the time and says what to do; it does no I/O, so
-/// that it can be fuzzed against the rules it is to keep: every token once
-/// and in order, a whole answer or a clear failure, nothing after the end.
+/// It maps events and the time to actions and does no I/O, so that it can be
+/// fuzzed against its invariants: every token is emitted once and in order, the
+/// request either completes or fails with an error, and no action follows the
+/// end.
 class StreamMachine {
  public:
   StreamMachine(std::uint64_t aRequest, int aLayers, StreamSettings aSettings,
@@ -140,62 +143,63 @@
 
   /// Starts the first attempt on `aChain`.
   StreamActions Start(const Chain& aChain, Instant aNow);
-  /// A token event has come, of whatever request and attempt.
+  /// Handles a token event, which may belong to any request and attempt.
   StreamActions OnToken(const TokenEvent& aEvent, Instant aNow);
-  /// An attempt has failed at a stage; -1 where the stage is not known.
+  /// Handles the failure of an attempt at a stage; -1 if the stage is unknown.
   StreamActions OnFailure(int aAttempt, int aStage, HopFailure aFailure,
                           Instant aNow);
-  /// The stages have said how far they are.
+  /// Handles the stages' responses to `ProbeStages`.
   StreamActions OnProgress(int aAttempt,
                            const std::vector<StageProgress>& aProgress);
-  /// Time has passed.
+  /// Checks all timeouts; to be called at `NextTimer`.
   StreamActions OnTimer(Instant aNow);
-  /// The caller has gone: the work ends on every stage.
+  /// Ends the request on every stage, since its caller has disconnected.
   StreamActions OnCallerDisconnected();
 
+  /// Whether the request has completed, failed or lost its caller.
   bool IsOver() const { return this->phase == Phase::Over; }
-  /// When `OnTimer` is next of use.
+  /// Time at which `OnTimer` has to be called next.
   Instant NextTimer(Instant aNow) const;
-  const StepFilter& Ledger() const { return this->ledger; }
+  const StepFilter& Filter() const { return this->filter; }
   const Chain& CurrentChain() const { return this->chain; }
   /// Tokens of the answer so far.
   const std::vector<std::int32_t>& Tokens() const { return this->tokens; }
-  /// How often the stream was moved.
+  /// Number of attempts after the first one.
   int Recoveries() const {
-    return this->ledger.Attempt() - this->settings.firstAttempt;
+    return this->filter.Attempt() - this->settings.firstAttempt;
   }
 
  private:
   enum class Phase { Idle, Running, WaitingForChain, Over };
 
-  void Launch(const Chain& aChain, std::vector<AttemptStage> aStages,
-              Instant aNow, StreamActions& aActions);
+  void StartAttemptOn(const Chain& aChain, std::vector<AttemptStage> aStages,
+                      Instant aNow, StreamActions& aActions);
   void Recover(const std::vector<bool>& aFailed, HopFailure aFailure,
                Instant aNow, StreamActions& aActions);
   std::vector<AttemptStage> StagesFor(const Chain& aNext,
                                       const std::vector<bool>& aFailed,
                                       HopFailure aFailure) const;
-  void Leave(const std::vector<bool>& aFailed, HopFailure aFailure,
-             Instant aNow, StreamActions& aActions);
-  void GiveUp(ErrorKind aKind, const std::string& aMessage,
-              StreamActions& aActions);
-  void ReleaseAll(bool aWithCurrent, StreamActions& aActions);
-  std::vector<bool> SuspectsOfHang() const;
+  void AbandonChain(const std::vector<bool>& aFailed, HopFailure aFailure,
+                    Instant aNow, StreamActions& aActions);
+  void FailWith(ErrorKind aKind, const std::string& aMessage,
+                StreamActions& aActions);
+  void ReleaseAll(bool aIncludeCurrent, StreamActions& aActions);
+  std::vector<bool> FindHungHops() const;
 
   StreamSettings settings;
   ChainRepairer& repairer;
-  StepFilter ledger;
+  StepFilter filter;
   HopMonitor monitor;
   Phase phase = Phase::Idle;
   Chain chain;
-  std::vector<bool> lost;
-  HopFailure lostBy = HopFailure::Dead;
+  std::vector<bool> failedHops;
+  HopFailure failure = HopFailure::Dead;
   std::vector<StageProgress> progress;
-  bool probed = false;
-  Instant tryAgainAt;
-  Instant lostSince;
-  int attemptStart = 0;
-  std::vector<int> former;
+  bool hasProbed = false;
+  Instant retryAt;
+  Instant abandonedAt;
+  int attemptStartPosition = 0;
+  std::vector<int> formerReplicas;
   std::vector<std::int32_t> tokens;
 };
 
--- a/Zincstep/Sequence/TokenEvent.h
+++ b/Zincstep/Sequence/TokenEvent.h
@@ -8,18 +8,18 @@
 
 namespace zincstep {
 
-/// What one stage says of its part in one token.
+/// One stage's report on its part in one token.
 struct StageReport {
   LayerRange layers;
-  /// Time that the step waited for a place in a batch.
+  /// Time that the step waited for a batch slot.
   Micros queue{0};
-  /// Time that the layers took.
+  /// Time to compute the layers.
   Micros compute{0};
-  /// Time on the way to the next stage and back, beyond that stage's own.
+  /// Round-trip time to the next stage, without that stage's own time.
   Micros link{0};
 };
 
-/// One token as it comes from the engines.
+/// One token as received from the engines.
 struct TokenEvent {
   std::uint64_t request = 0;
   int attempt = 0;
@@ -29,24 +29,24 @@
   std::string text;
   /// Tokens of the prompt, as the engine counts them.
   int promptTokens = 0;
-  /// Prompt tokens that the engine took from its prefix cache.
+  /// Prompt tokens that the engine read from its prefix cache.
   int cachedTokens = 0;
-  /// Set on the last token: the model has ended the answer itself.
+  /// The model has ended the answer with this token.
   bool ends = false;
   std::vector<StageReport> stages;
 };
 
-/// How an attempt failed, as far as its evidence tells.
+/// How an attempt failed, as far as the router can tell.
 enum class HopFailure {
-  /// Connection refused or broken: the stage is gone.
+  /// The connection was refused or lost.
   Dead,
-  /// No answer within the limits.
+  /// No response within the time limits.
   Hung,
-  /// Answers, but far slower than before.
+  /// The stage responds, but much more slowly than before.
   Slow,
-  /// The stage takes no new work.
+  /// The stage accepts no new work.
   Refused,
-  /// The stage is well but no longer holds the sequence's cache.
+  /// The stage is healthy but has lost the sequence's KV cache.
   CacheLost,
 };
 
