--- a/UnitTests/AgreementTest.cpp
+++ b/UnitTests/AgreementTest.cpp
@@ -19,24 +19,25 @@
   return list;
 }
 
-/// Witnesses, leases, membership and the rules of changes.
+/// Tests of claims and witnesses, leases, membership, version changes and the
+/// hop monitor.
 class AgreementTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AgreementTest);
   CPPUNIT_TEST(Witnesses_ThreeDomains_AreInThreeDomains);
-  CPPUNIT_TEST(Witnesses_MemberGone_MoveOnlyItsKeys);
-  CPPUNIT_TEST(Claim_TwoWitnessesSplit_FirstDecides);
-  CPPUNIT_TEST(Witness_OnePromiseEach_GrantsNeitherAfterHandOver);
-  CPPUNIT_TEST(Witness_Full_RefusesAndForgetsNothing);
-  CPPUNIT_TEST(Lease_PausedHolder_MayNotAct);
-  CPPUNIT_TEST(Lease_SlowRenewal_CountsFromItsSending);
-  CPPUNIT_TEST(Roster_Leaving_IsSticky);
-  CPPUNIT_TEST(Peers_SameView_OneHolderADuty);
+  CPPUNIT_TEST(Witnesses_MemberRemoved_ChangesOnlyItsKeys);
+  CPPUNIT_TEST(Claim_TwoWitnessesSplit_FirstWitnessDecides);
+  CPPUNIT_TEST(Witness_ConflictingGrants_GrantsNeitherAfterHandover);
+  CPPUNIT_TEST(Witness_Full_RefusesAndEvictsNothing);
+  CPPUNIT_TEST(Lease_PausedLeader_MayNotIssueOrders);
+  CPPUNIT_TEST(Lease_SlowRenewal_CountsFromSendTime);
+  CPPUNIT_TEST(Leaving_StaleVmList_StaysLeaving);
+  CPPUNIT_TEST(Peers_SameView_AgreeOnOneOwner);
   CPPUNIT_TEST(Peers_MessageWithoutTable_IsRefused);
-  CPPUNIT_TEST(Reconciler_OnlyHolderOfARange_IsNotPaused);
-  CPPUNIT_TEST(Reconciler_Pair_ChangesOneAfterTheOther);
-  CPPUNIT_TEST(Monitor_Hang_IsFoundWithin250Millis);
-  CPPUNIT_TEST(Monitor_LinkSlows100Fold_IsFoundInFewTokens);
-  CPPUNIT_TEST(Monitor_SteadyStream_RaisesNoAlarm);
+  CPPUNIT_TEST(Reconciler_OnlyUpstreamOfRange_IsNotPaused);
+  CPPUNIT_TEST(Reconciler_TwoReplicas_ChangesOneAtATime);
+  CPPUNIT_TEST(Monitor_Hang_IsDetectedWithin250Milliseconds);
+  CPPUNIT_TEST(Monitor_Link100TimesSlower_IsDetectedWithinThreeTokens);
+  CPPUNIT_TEST(Monitor_StableStream_ReportsNoFailure);
   CPPUNIT_TEST_SUITE_END();
 
   Instant now{Micros{100s}};
@@ -61,20 +62,20 @@
     }
   }
 
-  void Witnesses_MemberGone_MoveOnlyItsKeys() {
+  void Witnesses_MemberRemoved_ChangesOnlyItsKeys() {
     const MemberList before = ListOf(3, 4);
     MemberList after = before;
     after.members.erase(after.members.begin());
     for (int key = 0; key < 200; ++key) {
       const auto old = WitnessesOf(before, std::to_string(key));
-      const auto fresh = WitnessesOf(after, std::to_string(key));
-      const bool hadGone =
+      const auto current = WitnessesOf(after, std::to_string(key));
+      const bool hadRemoved =
           std::find(old.begin(), old.end(), "vm0/x") != old.end();
-      CPPUNIT_ASSERT(hadGone || old == fresh);
+      CPPUNIT_ASSERT(hadRemoved || old == current);
     }
   }
 
-  void Claim_TwoWitnessesSplit_FirstDecides() {
+  void Claim_TwoWitnessesSplit_FirstWitnessDecides() {
     MemberLists lists;
     lists.lists = {ListOf(1, 2)};
     Claim one;
@@ -82,21 +83,21 @@
     one.claimant = {"a", 1};
     Claim other = one;
     other.claimant = {"b", 2};
-    ClaimRound left(one, lists, this->now + 1s);
-    ClaimRound right(other, lists, this->now + 1s);
+    ClaimRound first(one, lists, this->now + 1s);
+    ClaimRound second(other, lists, this->now + 1s);
     const auto witnesses = WitnessesOf(lists.lists[0], "k");
-    // Each claimant reaches another witness first.
+    // Each claimant gets its first vote from a different witness.
     const auto won =
-        left.OnVote(witnesses[0], {ClaimVote::Kind::Granted, one}, this->now);
+        first.OnVote(witnesses[0], {ClaimVote::Kind::Granted, one}, this->now);
     CPPUNIT_ASSERT(won == ClaimVerdict::Won);
-    CPPUNIT_ASSERT(!right.OnVote(witnesses[1],
-                                 {ClaimVote::Kind::Granted, other}, this->now));
-    const auto lost = right.OnVote(
+    CPPUNIT_ASSERT(!second.OnVote(
+        witnesses[1], {ClaimVote::Kind::Granted, other}, this->now));
+    const auto lost = second.OnVote(
         witnesses[0], {ClaimVote::Kind::HeldByOther, one}, this->now);
     CPPUNIT_ASSERT(lost == ClaimVerdict::HeldByOther);
   }
 
-  void Witness_OnePromiseEach_GrantsNeitherAfterHandOver() {
+  void Witness_ConflictingGrants_GrantsNeitherAfterHandover() {
     WitnessTable stopping{WitnessTableSettings{}};
     WitnessTable successor{WitnessTableSettings{}};
     Claim one;
@@ -104,18 +105,18 @@
     one.claimant = {"a", 1};
     Claim other = one;
     other.claimant = {"b", 2};
-    (void)stopping.Ask(one, this->now);
-    (void)successor.Ask(other, this->now);
-    successor.Adopt(stopping.Close(), this->now);
-    CPPUNIT_ASSERT(successor.Ask(one, this->now).kind ==
+    (void)stopping.Vote(one, this->now);
+    (void)successor.Vote(other, this->now);
+    successor.Merge(stopping.Close(), this->now);
+    CPPUNIT_ASSERT(successor.Vote(one, this->now).kind ==
                    ClaimVote::Kind::HeldByOther);
-    CPPUNIT_ASSERT(successor.Ask(other, this->now).kind ==
+    CPPUNIT_ASSERT(successor.Vote(other, this->now).kind ==
                    ClaimVote::Kind::HeldByOther);
-    CPPUNIT_ASSERT(stopping.Ask(one, this->now).kind ==
+    CPPUNIT_ASSERT(stopping.Vote(one, this->now).kind ==
                    ClaimVote::Kind::Closed);
   }
 
-  void Witness_Full_RefusesAndForgetsNothing() {
+  void Witness_Full_RefusesAndEvictsNothing() {
     WitnessTableSettings settings;
     settings.maxBytes = 5000;
     WitnessTable table(settings);
@@ -124,21 +125,21 @@
     int granted = 0;
     for (int i = 0; i < 100; ++i) {
       claim.key = "key" + std::to_string(i);
-      granted += table.Ask(claim, this->now).kind == ClaimVote::Kind::Granted;
+      granted += table.Vote(claim, this->now).kind == ClaimVote::Kind::Granted;
     }
     CPPUNIT_ASSERT(granted > 5 && granted < 20);
     claim.key = "key0";
     claim.claimant = {"b", 2};
-    CPPUNIT_ASSERT(table.Ask(claim, this->now).kind ==
+    CPPUNIT_ASSERT(table.Vote(claim, this->now).kind ==
                    ClaimVote::Kind::HeldByOther);
-    // After the memory of keys there is room again.
+    // The keys expire after the retention period, which frees their memory.
     claim.key = "key99";
-    CPPUNIT_ASSERT(table.Ask(claim, this->now + kKeyRetention).kind ==
+    CPPUNIT_ASSERT(table.Vote(claim, this->now + kKeyRetention).kind ==
                    ClaimVote::Kind::Granted);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.Size());
   }
 
-  void Lease_PausedHolder_MayNotAct() {
+  void Lease_PausedLeader_MayNotIssueOrders() {
     LeaseGuard guard({9s, 3s});
     guard.OnTaken(7, this->now);
     CPPUNIT_ASSERT(guard.MayIssueOrders(this->now + 5s));
@@ -146,7 +147,7 @@
     CPPUNIT_ASSERT(!guard.IsHeld(this->now + 9s));
   }
 
-  void Lease_SlowRenewal_CountsFromItsSending() {
+  void Lease_SlowRenewal_CountsFromSendTime() {
     LeaseGuard guard({9s, 3s});
     guard.OnTaken(7, this->now);
     guard.OnRenewed(this->now + 3s);
@@ -154,23 +155,23 @@
     CPPUNIT_ASSERT(!guard.IsHeld(this->now + 12s));
   }
 
-  void Roster_Leaving_IsSticky() {
-    LeavingUpstreams roster;
+  void Leaving_StaleVmList_StaysLeaving() {
+    LeavingUpstreams leaving;
     VmEntry vm;
     vm.name = "u1";
     vm.role = VmRole::Upstream;
-    CPPUNIT_ASSERT(roster.OnVmList({vm}).empty());
-    CPPUNIT_ASSERT(roster.OnLeaving("u1"));
-    // A list that lags behind does not take it back.
-    CPPUNIT_ASSERT(roster.OnVmList({vm}).empty());
-    CPPUNIT_ASSERT(roster.IsLeaving("u1"));
-    CPPUNIT_ASSERT(roster.OnVmList({}).empty());
-    // Gone and shown anew: another VM of that name.
-    CPPUNIT_ASSERT(roster.OnVmList({vm}).empty());
-    CPPUNIT_ASSERT(!roster.IsLeaving("u1"));
+    CPPUNIT_ASSERT(leaving.OnVmList({vm}).empty());
+    CPPUNIT_ASSERT(leaving.OnLeaving("u1"));
+    // A VM list that is out of date doesn't clear the mark.
+    CPPUNIT_ASSERT(leaving.OnVmList({vm}).empty());
+    CPPUNIT_ASSERT(leaving.IsLeaving("u1"));
+    CPPUNIT_ASSERT(leaving.OnVmList({}).empty());
+    // The VM was removed and added again: it is another VM of the same name.
+    CPPUNIT_ASSERT(leaving.OnVmList({vm}).empty());
+    CPPUNIT_ASSERT(!leaving.IsLeaving("u1"));
   }
 
-  void Peers_SameView_OneHolderADuty() {
+  void Peers_SameView_AgreeOnOneOwner() {
     std::vector<VmEntry> vms;
     for (int i = 0; i < 5; ++i) {
       VmEntry vm;
@@ -179,7 +180,7 @@
       vm.peerAddress = "x:" + std::to_string(i);
       vms.push_back(vm);
     }
-    std::set<std::string> holders;
+    std::set<std::string> owners;
     for (int i = 0; i < 5; ++i) {
       PeerTable table("e" + std::to_string(i), "d", {});
       table.SetVms(vms, {});
@@ -189,9 +190,9 @@
         gossip.member = gossip.vm + "/x";
         table.OnGossip(gossip, this->now);
       }
-      holders.insert(table.OwnerOf("reader", this->now));
+      owners.insert(table.OwnerOf("reader", this->now));
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, holders.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, owners.size());
   }
 
   void Peers_MessageWithoutTable_IsRefused() {
@@ -216,7 +217,7 @@
     return state;
   }
 
-  void Reconciler_OnlyHolderOfARange_IsNotPaused() {
+  void Reconciler_OnlyUpstreamOfRange_IsNotPaused() {
     Reconciler reconciler({});
     const std::vector<UpstreamState> states{StateOf("a", {0, 4}),
                                             StateOf("b", {4, 8})};
@@ -225,7 +226,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, step.stuck.size());
   }
 
-  void Reconciler_Pair_ChangesOneAfterTheOther() {
+  void Reconciler_TwoReplicas_ChangesOneAtATime() {
     Reconciler reconciler({});
     std::vector<UpstreamState> states{StateOf("a", {0, 8}),
                                       StateOf("b", {0, 8})};
@@ -240,7 +241,7 @@
     CPPUNIT_ASSERT(step.paused == std::vector<std::string>{"b"});
   }
 
-  void Monitor_Hang_IsFoundWithin250Millis() {
+  void Monitor_Hang_IsDetectedWithin250Milliseconds() {
     HopMonitor monitor{HopMonitorSettings{}};
     monitor.OnAttempt(2, this->now);
     for (int i = 0; i < 30; ++i) {
@@ -252,7 +253,7 @@
     CPPUNIT_ASSERT(monitor.IsHung(this->now + 250ms));
   }
 
-  void Monitor_LinkSlows100Fold_IsFoundInFewTokens() {
+  void Monitor_Link100TimesSlower_IsDetectedWithinThreeTokens() {
     HopMonitor monitor{HopMonitorSettings{}};
     monitor.OnAttempt(2, this->now);
     for (int i = 0; i < 30; ++i) {
@@ -272,7 +273,7 @@
     CPPUNIT_ASSERT(tokens <= 3);
   }
 
-  void Monitor_SteadyStream_RaisesNoAlarm() {
+  void Monitor_StableStream_ReportsNoFailure() {
     HopMonitor monitor{HopMonitorSettings{}};
     Random random(2);
     monitor.OnAttempt(2, this->now);
--- a/Zincstep/Engine/EngineClient.h
+++ b/Zincstep/Engine/EngineClient.h
@@ -10,86 +10,92 @@
 
 namespace zincstep {
 
-/// One stage of an attempt, by address.
+/// One stage of an attempt, with the address of its engine.
 struct EngineStage {
   std::string address;
   LayerRange layers;
   CacheSource source = CacheSource::Replay;
+  /// Address to import the KV cache from; empty for the other sources.
   std::string importAddress;
 };
 
-/// All that the engines need to run one attempt of a request.
+/// Parameters of one attempt of a request, as sent to the engines.
 struct EngineAttempt {
   std::uint64_t request = 0;
   int attempt = 0;
   std::string model;
   std::string version;
   std::string adapter;
-  /// Salt of the engines' prefix caches; one an organisation.
+  /// Salt of the engines' prefix caches, different for each organisation.
   std::string cacheSalt;
   Priority priority = Priority::Normal;
   std::string prompt;
-  /// Tokens of the answer that stand already.
+  /// Tokens of the answer that were accepted in earlier attempts.
   std::vector<std::int32_t> tokens;
-  /// Tokens of the whole answer.
+  /// Maximum number of tokens of the complete answer.
   int maxTokens = 0;
-  /// Time that is left; the engines stop by themselves after it.
+  /// Time to the deadline, after which the engines stop on their own.
   Micros timeLeft{0};
   std::string traceParent;
   std::vector<EngineStage> stages;
 };
 
-/// What an engine says of its load.
+/// Load that an engine reports.
 struct EngineLoad {
   std::string name;
+  /// Number of running sequences.
   double sequences = 0;
+  /// Number of batch slots; 0 if not reported.
   double slots = 0;
-  /// Version that it holds now.
+  /// Model version that the engine runs.
   std::string version;
+  /// The engine is about to stop and accepts no new work.
   bool leaving = false;
 };
 
-/// Is told what the engines say; called on the client's thread.
+/// Receives events from the engines, on the client's thread.
 class EngineListener {
  public:
   virtual ~EngineListener() = default;
 
-  /// A token has come; it may be late, doubled or of another request.
+  /// Called for each token, which may be late, duplicated or of another
+  /// request.
   virtual void OnToken(TokenEvent aEvent) = 0;
-  /// An attempt has failed at a stage, or at an unknown one (-1).
+  /// Called when an attempt has failed at a stage; -1 if the stage is unknown.
   virtual void OnAttemptFailed(std::uint64_t aRequest, int aAttempt, int aStage,
                                HopFailure aFailure) = 0;
-  /// All stages have been asked, and these have answered.
+  /// Called when all calls of a probe have ended, with one entry per stage.
   virtual void OnProgress(std::uint64_t aRequest, int aAttempt,
                           std::vector<StageProgress> aProgress) = 0;
-  /// An engine has answered a question for its load, or has not.
+  /// Called with the result of `QueryLoad`.
   virtual void OnLoad(const std::string& aUpstream,
                       Result<EngineLoad> aLoad) = 0;
 };
 
-/// Drives model engines. Who carries the activations between stages is
-/// this interface's matter: a client may hand the route to the first
-/// stage, or call each stage itself.
+/// Client of the model engines. The implementation decides how activations get
+/// from stage to stage: it can send the route to the first stage, or call each
+/// stage itself.
 class EngineClient {
  public:
   virtual ~EngineClient() = default;
 
-  /// Starts an attempt; its tokens go to the listener.
+  /// Starts an attempt, whose tokens are passed to the listener.
   virtual void Start(EngineAttempt aAttempt) = 0;
-  /// Stops listening to an attempt; the stages keep their caches.
+  /// Cancels the token stream of an attempt. The stages keep their caches.
   virtual void Abandon(std::uint64_t aRequest, int aAttempt) = 0;
-  /// Frees a request on an engine.
+  /// Frees the sequence of a request on an engine.
   virtual void Release(const std::string& aAddress, std::uint64_t aRequest,
                        int aAttempt) = 0;
-  /// Asks stages how far they are with a request.
+  /// Queries the stages' progress on a request.
   virtual void Probe(std::uint64_t aRequest, int aAttempt,
                      const std::vector<std::string>& aAddresses) = 0;
-  /// Asks an engine for its load.
+  /// Queries an engine's load.
   virtual void QueryLoad(const std::string& aUpstream,
                          const std::string& aAddress) = 0;
 };
 
-/// A client that gives the first stage the route and sees only tokens.
+/// Creates a client that sends the route to the first stage and receives only
+/// tokens.
 std::unique_ptr<EngineClient> MakeForwardingEngineClient(
     HttpClient& aHttp, EngineListener& aListener);
 
--- a/Zincstep/Engine/EngineCodec.cpp
+++ b/Zincstep/Engine/EngineCodec.cpp
@@ -8,6 +8,7 @@
 
 using Json = nlohmann::json;
 
+/// Maximum number of stage reports read from a token; the rest is ignored.
 constexpr int kMaxStages = 256;
 
 Json LayersToJson(const LayerRange& aLayers) {
@@ -18,7 +19,7 @@
   return {aJson.at(0).get<int>(), aJson.at(1).get<int>()};
 }
 
-std::string Dump(const Json& aJson) {
+std::string Encode(const Json& aJson) {
   return aJson.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
@@ -43,14 +44,15 @@
   return stage;
 }
 
-/// Runs `aRead` and turns a fault of the JSON library into an error.
-template <class T, class Read>
-Result<T> Guarded(std::string_view aText, ErrorKind aKind, Read aRead) {
+/// Parses `aText` and decodes it by `aDecode`. Converts an exception of the
+/// JSON library into an error of kind `aKind`.
+template <class T, class Decode>
+Result<T> ParseJson(std::string_view aText, ErrorKind aKind, Decode aDecode) {
   try {
     const Json json = Json::parse(aText);
-    return aRead(json);
-  } catch (const Json::exception& fault) {
-    return Fail(aKind, fault.what());
+    return aDecode(json);
+  } catch (const Json::exception& exception) {
+    return Fail(aKind, exception.what());
   }
 }
 
@@ -110,22 +112,22 @@
   for (const EngineStage& stage : aAttempt.stages) {
     stages.push_back(StageToJson(stage));
   }
-  return Dump({{"request", aAttempt.request},
-               {"attempt", aAttempt.attempt},
-               {"model", aAttempt.model},
-               {"version", aAttempt.version},
-               {"adapter", aAttempt.adapter},
-               {"cache_salt", aAttempt.cacheSalt},
-               {"priority", NameIn(kPriorityNames, aAttempt.priority)},
-               {"prompt", aAttempt.prompt},
-               {"tokens", aAttempt.tokens},
-               {"max_tokens", aAttempt.maxTokens},
-               {"time_left_ms", aAttempt.timeLeft.count() / 1000},
-               {"stages", std::move(stages)}});
+  return Encode({{"request", aAttempt.request},
+                 {"attempt", aAttempt.attempt},
+                 {"model", aAttempt.model},
+                 {"version", aAttempt.version},
+                 {"adapter", aAttempt.adapter},
+                 {"cache_salt", aAttempt.cacheSalt},
+                 {"priority", NameIn(kPriorityNames, aAttempt.priority)},
+                 {"prompt", aAttempt.prompt},
+                 {"tokens", aAttempt.tokens},
+                 {"max_tokens", aAttempt.maxTokens},
+                 {"time_left_ms", aAttempt.timeLeft.count() / 1000},
+                 {"stages", std::move(stages)}});
 }
 
 Result<EngineAttempt> ReadAttempt(std::string_view aBody) {
-  const auto read = [](const Json& aJson) {
+  const auto decode = [](const Json& aJson) {
     EngineAttempt attempt;
     attempt.request = aJson.at("request").get<std::uint64_t>();
     attempt.attempt = aJson.at("attempt").get<int>();
@@ -145,7 +147,7 @@
     }
     return attempt;
   };
-  return Guarded<EngineAttempt>(aBody, ErrorKind::BadRequest, read);
+  return ParseJson<EngineAttempt>(aBody, ErrorKind::BadRequest, decode);
 }
 
 std::string WriteLine(const EngineLine& aLine) {
@@ -154,11 +156,11 @@
           ? TokenToJson(aLine.token)
           : Json{{"failed_stage", aLine.failedStage},
                  {"failure", NameIn(kHopFailureNames, aLine.failure)}};
-  return Dump(json) + "\n";
+  return Encode(json) + "\n";
 }
 
 Result<EngineLine> ReadLine(std::string_view aText) {
-  const auto read = [](const Json& aJson) {
+  const auto decode = [](const Json& aJson) {
     EngineLine line;
     line.isToken = !aJson.contains("failed_stage");
     if (line.isToken) {
@@ -171,36 +173,36 @@
                        .value_or(HopFailure::Dead);
     return line;
   };
-  return Guarded<EngineLine>(aText, ErrorKind::BadRequest, read);
+  return ParseJson<EngineLine>(aText, ErrorKind::BadRequest, decode);
 }
 
 std::string WriteProgress(const StageProgress& aProgress) {
-  return Dump({{"holds_step", aProgress.holdsStep},
-               {"waits_for_next", aProgress.waitsForNext}});
+  return Encode({{"holds_step", aProgress.holdsStep},
+                 {"waits_for_next", aProgress.waitsForNext}});
 }
 
 StageProgress ReadProgress(std::string_view aBody) {
-  const auto read = [](const Json& aJson) {
+  const auto decode = [](const Json& aJson) {
     StageProgress progress;
-    progress.answered = true;
+    progress.hasResponded = true;
     progress.holdsStep = aJson.at("holds_step").get<bool>();
     progress.waitsForNext = aJson.at("waits_for_next").get<bool>();
     return progress;
   };
-  return Guarded<StageProgress>(aBody, ErrorKind::UpstreamFailed, read)
+  return ParseJson<StageProgress>(aBody, ErrorKind::UpstreamFailed, decode)
       .value_or(StageProgress{});
 }
 
 std::string WriteLoad(const EngineLoad& aLoad) {
-  return Dump({{"name", aLoad.name},
-               {"sequences", aLoad.sequences},
-               {"slots", aLoad.slots},
-               {"version", aLoad.version},
-               {"leaving", aLoad.leaving}});
+  return Encode({{"name", aLoad.name},
+                 {"sequences", aLoad.sequences},
+                 {"slots", aLoad.slots},
+                 {"version", aLoad.version},
+                 {"leaving", aLoad.leaving}});
 }
 
 Result<EngineLoad> ReadLoad(std::string_view aBody) {
-  const auto read = [](const Json& aJson) {
+  const auto decode = [](const Json& aJson) {
     EngineLoad load;
     load.name = aJson.at("name").get<std::string>();
     load.sequences = aJson.at("sequences").get<double>();
@@ -209,7 +211,7 @@
     load.leaving = aJson.value("leaving", false);
     return load;
   };
-  return Guarded<EngineLoad>(aBody, ErrorKind::UpstreamFailed, read);
+  return ParseJson<EngineLoad>(aBody, ErrorKind::UpstreamFailed, decode);
 }
 
 }  // namespace zincstep
--- a/Zincstep/Engine/EngineCodec.h
+++ b/Zincstep/Engine/EngineCodec.h
@@ -10,34 +10,37 @@
 
 /// A line of an engine's token stream: a token, or the attempt's failure.
 struct EngineLine {
+  /// Whether `token` is valid; otherwise `failedStage` and `failure` are.
   bool isToken = false;
   TokenEvent token;
   int failedStage = -1;
   HopFailure failure = HopFailure::Dead;
 };
 
-/// The body of the call that starts an attempt.
+/// Encodes the body of the call that starts an attempt.
 std::string WriteAttempt(const EngineAttempt& aAttempt);
-/// The attempt that a body describes; fails with `BadRequest`.
+/// Parses the body of `WriteAttempt`; fails with `BadRequest`.
 Result<EngineAttempt> ReadAttempt(std::string_view aBody);
 
-/// One line of a token stream, with its line feed.
+/// Encodes one line of a token stream, with its line feed.
 std::string WriteLine(const EngineLine& aLine);
-/// The line that a text holds; fails with `BadRequest`.
+/// Parses one line of a token stream; fails with `BadRequest`.
 Result<EngineLine> ReadLine(std::string_view aText);
 
-/// A stage's progress as JSON.
+/// Encodes a stage's progress as JSON.
 std::string WriteProgress(const StageProgress& aProgress);
-/// The progress in an answer, or none where it cannot be read.
+/// Parses a stage's progress. Returns a default `StageProgress`, with
+/// `hasResponded` unset, if the body is invalid.
 StageProgress ReadProgress(std::string_view aBody);
 
-/// An engine's load as JSON.
+/// Encodes an engine's load as JSON.
 std::string WriteLoad(const EngineLoad& aLoad);
-/// The load in an answer; fails with `UpstreamFailed`.
+/// Parses an engine's load; fails with `UpstreamFailed`.
 Result<EngineLoad> ReadLoad(std::string_view aBody);
 
-/// A stage report as JSON, and back.
+/// Encodes a stage report as a JSON array; times are in microseconds.
 nlohmann::json StageReportToJson(const StageReport& aReport);
+/// Decodes a stage report; throws `nlohmann::json::exception` if it is invalid.
 StageReport StageReportFromJson(const nlohmann::json& aJson);
 
 }  // namespace zincstep
--- a/Zincstep/Engine/ForwardingEngineClient.cpp
+++ b/Zincstep/Engine/ForwardingEngineClient.cpp
@@ -9,34 +9,35 @@
 
 namespace {
 
-constexpr Micros kShortCall = 1s;
-constexpr Micros kProbeCall = 80ms;
-constexpr Micros kConnect = 150ms;
+constexpr Micros kCallTimeout = 1s;
+constexpr Micros kProbeTimeout = 80ms;
+constexpr Micros kConnectTimeout = 150ms;
+/// A longer line is discarded.
 constexpr std::size_t kMaxLineBytes = 1 << 20;
 
 enum class CallKind { Attempt, Release, Probe, Load };
 
-/// One set of questions to the stages of a chain.
+/// One probe of all stages of a chain.
 struct ProbeRound {
   std::uint64_t request = 0;
   int attempt = 0;
-  std::size_t open = 0;
+  std::size_t outstanding = 0;
   std::vector<StageProgress> progress;
 };
 
-/// What a running call is for.
+/// Purpose and state of a running call.
 struct CallContext {
   CallKind kind = CallKind::Release;
   std::uint64_t request = 0;
   int attempt = 0;
-  std::string partial;
-  bool failed = false;
+  std::string pendingLine;
+  bool hasFailed = false;
   std::shared_ptr<ProbeRound> probe;
   std::size_t probeStage = 0;
   std::string upstream;
 };
 
-/// Hands the route to the first stage; sees only tokens from then on.
+/// Sends the route to the first stage, and receives only tokens from then on.
 class ForwardingEngineClient final : public EngineClient, HttpCallListener {
  public:
   ForwardingEngineClient(HttpClient& aHttp, EngineListener& aListener)
@@ -50,8 +51,8 @@
                     {"traceparent", aAttempt.traceParent}};
     call.body = WriteAttempt(aAttempt);
     call.streamed = true;
-    call.connectTimeout = kConnect;
-    call.timeout = aAttempt.timeLeft + kShortCall;
+    call.connectTimeout = kConnectTimeout;
+    call.timeout = aAttempt.timeLeft + kCallTimeout;
     CallContext context;
     context.kind = CallKind::Attempt;
     context.request = aAttempt.request;
@@ -75,8 +76,8 @@
     HttpCall call;
     call.method = "DELETE";
     call.url = SequenceUrl(aAddress, aRequest, aAttempt);
-    call.timeout = kShortCall;
-    this->Begin(std::move(call), CallContext{});
+    call.timeout = kCallTimeout;
+    this->StartCall(std::move(call), CallContext{});
   }
 
   void Probe(std::uint64_t aRequest, int aAttempt,
@@ -84,18 +85,18 @@
     auto round = std::make_shared<ProbeRound>();
     round->request = aRequest;
     round->attempt = aAttempt;
-    round->open = aAddresses.size();
+    round->outstanding = aAddresses.size();
     round->progress.resize(aAddresses.size());
     for (std::size_t i = 0; i < aAddresses.size(); ++i) {
       HttpCall call;
       call.url = SequenceUrl(aAddresses[i], aRequest, aAttempt);
-      call.connectTimeout = kProbeCall;
-      call.timeout = kProbeCall;
+      call.connectTimeout = kProbeTimeout;
+      call.timeout = kProbeTimeout;
       CallContext context;
       context.kind = CallKind::Probe;
       context.probe = round;
       context.probeStage = i;
-      this->Begin(std::move(call), std::move(context));
+      this->StartCall(std::move(call), std::move(context));
     }
   }
 
@@ -103,11 +104,11 @@
                  const std::string& aAddress) override {
     HttpCall call;
     call.url = "http://" + aAddress + "/v1/load";
-    call.timeout = kShortCall;
+    call.timeout = kCallTimeout;
     CallContext context;
     context.kind = CallKind::Load;
     context.upstream = aUpstream;
-    this->Begin(std::move(call), std::move(context));
+    this->StartCall(std::move(call), std::move(context));
   }
 
  private:
@@ -117,7 +118,7 @@
            "?attempt=" + std::to_string(aAttempt);
   }
 
-  void Begin(HttpCall aCall, CallContext aContext) {
+  void StartCall(HttpCall aCall, CallContext aContext) {
     const std::lock_guard<std::mutex> lock(this->mutex);
     const CallId id = this->http.Start(std::move(aCall), *this);
     this->calls[id] = std::move(aContext);
@@ -128,18 +129,18 @@
     if (context == nullptr || context->kind != CallKind::Attempt) {
       return;
     }
-    context->partial += aPart;
-    std::size_t start = 0;
-    std::size_t end = context->partial.find('\n');
-    while (end != std::string::npos) {
-      const std::string_view all = context->partial;
-      this->OnLine(*context, all.substr(start, end - start));
-      start = end + 1;
-      end = context->partial.find('\n', start);
+    context->pendingLine += aPart;
+    std::size_t lineStart = 0;
+    std::size_t lineEnd = context->pendingLine.find('\n');
+    while (lineEnd != std::string::npos) {
+      const std::string_view buffered = context->pendingLine;
+      this->OnLine(*context, buffered.substr(lineStart, lineEnd - lineStart));
+      lineStart = lineEnd + 1;
+      lineEnd = context->pendingLine.find('\n', lineStart);
     }
-    context->partial.erase(0, start);
-    if (context->partial.size() > kMaxLineBytes) {
-      context->partial.clear();
+    context->pendingLine.erase(0, lineStart);
+    if (context->pendingLine.size() > kMaxLineBytes) {
+      context->pendingLine.clear();
     }
   }
 
@@ -152,13 +153,13 @@
       this->listener.OnToken(std::move(line->token));
       return;
     }
-    aContext.failed = true;
+    aContext.hasFailed = true;
     this->listener.OnAttemptFailed(aContext.request, aContext.attempt,
                                    line->failedStage, line->failure);
   }
 
   void OnCallEnd(CallId aCall, HttpCallResult aResult) override {
-    CallContext context = this->Take(aCall);
+    CallContext context = this->RemoveCall(aCall);
     switch (context.kind) {
       case CallKind::Attempt:
         this->OnAttemptEnd(context, aResult);
@@ -174,19 +175,19 @@
     }
   }
 
-  /// An end of the stream is a failure of the first stage, unless the
-  /// stream has named one, was abandoned, or had all of its tokens; in the
-  /// last two cases nobody listens to the attempt any more.
+  /// Reports the end of the stream as a failure of the first stage, unless the
+  /// stream named a failed stage or the attempt was abandoned. After the last
+  /// token the listener ignores the report, as the attempt is closed.
   void OnAttemptEnd(const CallContext& aContext,
                     const HttpCallResult& aResult) {
-    if (aResult.end == CallEnd::Cancelled || aContext.failed) {
+    if (aResult.end == CallEnd::Cancelled || aContext.hasFailed) {
       return;
     }
-    const bool refused =
+    const bool isRefused =
         aResult.end == CallEnd::Answered && aResult.status != 200;
     this->listener.OnAttemptFailed(
         aContext.request, aContext.attempt, 0,
-        refused ? HopFailure::Refused : HopFailure::Dead);
+        isRefused ? HopFailure::Refused : HopFailure::Dead);
   }
 
   void OnProbeEnd(const CallContext& aContext, const HttpCallResult& aResult) {
@@ -194,11 +195,11 @@
     if (aResult.end == CallEnd::Answered && aResult.status == 200) {
       round.progress[aContext.probeStage] = ReadProgress(aResult.body);
     } else if (aResult.end == CallEnd::Answered) {
-      // It lives, and has not seen this attempt.
-      round.progress[aContext.probeStage].answered = true;
+      // The stage is alive but doesn't know this attempt.
+      round.progress[aContext.probeStage].hasResponded = true;
     }
-    round.open -= 1;
-    if (round.open == 0) {
+    round.outstanding -= 1;
+    if (round.outstanding == 0) {
       this->listener.OnProgress(round.request, round.attempt, round.progress);
     }
   }
@@ -218,7 +219,7 @@
     return found == this->calls.end() ? nullptr : &found->second;
   }
 
-  CallContext Take(CallId aCall) {
+  CallContext RemoveCall(CallId aCall) {
     const std::lock_guard<std::mutex> lock(this->mutex);
     const auto found = this->calls.find(aCall);
     ZINCSTEP_ASSERT(found != this->calls.end());
@@ -232,9 +233,9 @@
 
   HttpClient& http;
   EngineListener& listener;
-  /// Guards the two maps; starts come from the router's thread, ends from
-  /// the client's. References into `calls` stay valid while others change,
-  /// and only the client's thread reads or erases an entry's content.
+  /// Guards the two maps: calls are added on the router's thread and removed on
+  /// the HTTP client's. References into `calls` stay valid while other entries
+  /// change, and only the HTTP client's thread reads or erases an entry.
   std::mutex mutex;
   std::unordered_map<CallId, CallContext> calls;
   std::map<std::pair<std::uint64_t, int>, CallId> attempts;
