--- a/UnitTests/CrashReplayTest.cpp
+++ b/UnitTests/CrashReplayTest.cpp
@@ -157,7 +157,7 @@
     }
     run.isOver = true;
     const RequestFingerprint request = run.request.fingerprint;
-    if (this->ledgers[run.request.daemon].OnAnswered(request, this->now)) {
+    if (this->ledgers[run.request.daemon].OnCompleted(request, this->now)) {
       this->Tell(run.request.daemon, [request](CrashTracker& aLedger, Instant) {
         aLedger.Clear(request);
       });
