--- a/FuzzTests/StoreRestoreTest.cpp
+++ b/FuzzTests/StoreRestoreTest.cpp
@@ -255,7 +255,7 @@
         this->Ask(daemon, *other);
       }
     }
-    daemon.view.OnPeersAnswered();
+    daemon.view.OnPeersResponded();
   }
 
   void Change(const std::string& aId, int aArgument) {
@@ -294,7 +294,7 @@
       return;
     }
     const StoreRange range = this->oracle.Upstreams();
-    const auto asked = aDaemon.eras.Present();
+    const auto asked = aDaemon.eras.CurrentEra();
     this->late.push_back([this, life = aDaemon.weak_from_this(), range, asked] {
       if (const auto daemon = life.lock()) {
         this->Answer(*daemon, asked, range.at.era,
@@ -313,7 +313,7 @@
     }
     const Instant began = this->clock.Now();
     const StoreItem present = this->oracle.Configuration();
-    this->Answer(aDaemon, aDaemon.eras.Present(), present.revision.era, [&] {
+    this->Answer(aDaemon, aDaemon.eras.CurrentEra(), present.revision.era, [&] {
       aDaemon.view.OnConfiguration(present);
       aDaemon.view.OnValidated(present.revision, began);
     });
@@ -323,11 +323,11 @@
     if (&aDaemon == &aPeer) {
       return;
     }
-    aPeer.eras.OnTold(aDaemon.eras.Present().value_or(0));
-    const std::uint64_t era = aPeer.eras.Present().value_or(0);
+    aPeer.eras.OnTold(aDaemon.eras.CurrentEra().value_or(0));
+    const std::uint64_t era = aPeer.eras.CurrentEra().value_or(0);
     const ClusterUpdate copy = aPeer.view.UpdateFor(aDaemon.view.Revisions());
     aDaemon.eras.OnTold(era);
-    if (era == aDaemon.eras.Present()) {
+    if (era == aDaemon.eras.CurrentEra()) {
       aDaemon.view.OnUpdate(copy, this->clock.Now());
     }
   }
--- a/UnitTests/ObservedChangesTest.cpp
+++ b/UnitTests/ObservedChangesTest.cpp
@@ -24,23 +24,23 @@
 
   void WithoutGap_AllObserved_IsTheLast() {
     observed.Add({8});
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, observed.WithoutGap({4}).number);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, observed.WithoutGap({6}).number);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, observed.LastContiguous({4}).number);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, observed.LastContiguous({6}).number);
   }
 
   void WithoutGap_OneMissing_IsTheOneBefore() {
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, observed.WithoutGap({4}).number);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, observed.LastContiguous({4}).number);
   }
 
   void WithoutGap_NextMissing_IsTheStart() {
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, observed.WithoutGap({3}).number);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, observed.WithoutGap({9}).number);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, observed.LastContiguous({3}).number);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, observed.LastContiguous({9}).number);
   }
 
   void Forget_UpToARevision_KeepsLaterOnes() {
     observed.Forget({7});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, observed.Size());
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, observed.WithoutGap({8}).number);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, observed.LastContiguous({8}).number);
   }
 };
 
--- a/UnitTests/RestoredStoreTest.cpp
+++ b/UnitTests/RestoredStoreTest.cpp
@@ -214,7 +214,7 @@
     view.OnValidated({40, 2}, began);
     CPPUNIT_ASSERT(!view.ValidationAge());
     clock.Advance(100ms);
-    view.OnPeersAnswered();
+    view.OnPeersResponded();
     CPPUNIT_ASSERT(view.ValidationAge() == 100ms);
   }
 
--- a/UnitTests/SilentStoreWatchTest.cpp
+++ b/UnitTests/SilentStoreWatchTest.cpp
@@ -197,7 +197,7 @@
     settings.keys = {"op/config", kUpstreams, kOwn, kOwn};
     settings.validationInterval = 1ms;
     settings.initialBackoff = 1ms;
-    for (PrefixPauses* pauses :
+    for (PrefixFollowerTiming* pauses :
          {&settings.upstreamPauses, &settings.ownPauses}) {
       pauses->gather = 1ms;
       pauses->initialBackoff = 1ms;
--- a/UnitTests/StoreEraTrackerTest.cpp
+++ b/UnitTests/StoreEraTrackerTest.cpp
@@ -25,9 +25,9 @@
   }
 
   void Answer_FirstOfAll_TellsTheEra() {
-    CPPUNIT_ASSERT(!eras.Present());
+    CPPUNIT_ASSERT(!eras.CurrentEra());
     CPPUNIT_ASSERT(eras.Accepts(std::nullopt, 4));
-    CPPUNIT_ASSERT(eras.Present() == 4);
+    CPPUNIT_ASSERT(eras.CurrentEra() == 4);
     CPPUNIT_ASSERT_EQUAL(0, restores);
   }
 
@@ -50,7 +50,7 @@
     eras.Accepts(std::nullopt, 2);
     CPPUNIT_ASSERT(!eras.Accepts(2, 1));
     CPPUNIT_ASSERT(!eras.Accepts(2, 0));
-    CPPUNIT_ASSERT(eras.Present() == 2);
+    CPPUNIT_ASSERT(eras.CurrentEra() == 2);
     CPPUNIT_ASSERT_EQUAL(0, restores);
   }
 
@@ -67,7 +67,7 @@
   // return from a copy.
   void Told_ByAPeerThatKnowsNone_IsNoEra() {
     eras.OnTold(0);
-    CPPUNIT_ASSERT(!eras.Present());
+    CPPUNIT_ASSERT(!eras.CurrentEra());
     CPPUNIT_ASSERT(eras.Accepts(std::nullopt, 3));
     CPPUNIT_ASSERT_EQUAL(0, restores);
   }
--- a/UnitTests/StoreFollowerTest.cpp
+++ b/UnitTests/StoreFollowerTest.cpp
@@ -310,7 +310,8 @@
   void CatchUp_ToldInPieces_MissesNothing() {
     std::size_t told = 0;
     PrefixFollower follower(
-        loop, store, clock, "p/", PrefixPauses{}, [](const StoreRange&) {},
+        loop, store, clock, "p/", PrefixFollowerTiming{},
+        [](const StoreRange&) {},
         [&told](const StoreEvents& aEvents) { told += aEvents.events.size(); },
         [] {});
     follower.Restart();
--- a/Zincstep/Cluster/ClusterView.h
+++ b/Zincstep/Cluster/ClusterView.h
@@ -99,7 +99,7 @@
   /// that lives may know a configuration that the store has lost.
   void AwaitPeers(Instant aUntil) { this->config.AwaitPeers(aUntil); }
   /// A peer has answered, and this daemon has no older configuration.
-  void OnPeersAnswered() { this->config.OnPeersAnswered(); }
+  void OnPeersResponded() { this->config.OnPeersResponded(); }
   /// All upstreams' entries as of `aRange.at`; keys are their ids.
   void OnUpstreams(const StoreRange& aRange);
   /// Changes of upstreams' entries.
@@ -165,7 +165,7 @@
   /// Whether any list of upstreams is known, however old.
   bool KnowsUpstreams() const { return !this->entries.At().IsNone(); }
   /// Entries that name no upstream, as they cannot be read.
-  std::size_t WrongEntries() const { return this->wrongEntries.size(); }
+  std::size_t InvalidEntries() const { return this->wrongEntries.size(); }
   const UpstreamDirectory& Directory() const { return this->directory; }
   /// The daemons' own entries.
   const PrefixMirror& Daemons() const { return this->daemons; }
--- a/Zincstep/Cluster/ConfigurationState.cpp
+++ b/Zincstep/Cluster/ConfigurationState.cpp
@@ -102,7 +102,7 @@
   this->rejectsValidationUntil = this->clock.Now() + kProofDoubt;
 }
 
-void ConfigurationState::OnPeersAnswered() {
+void ConfigurationState::OnPeersResponded() {
   if (!this->awaitsPeersUntil) {
     return;
   }
@@ -123,7 +123,7 @@
 
 void ConfigurationState::Tick() {
   if (this->awaitsPeersUntil && this->clock.Now() >= *this->awaitsPeersUntil) {
-    this->OnPeersAnswered();
+    this->OnPeersResponded();
   }
 }
 
--- a/Zincstep/Cluster/ConfigurationState.h
+++ b/Zincstep/Cluster/ConfigurationState.h
@@ -39,7 +39,7 @@
   /// that lives may know a configuration that the store has lost.
   void AwaitPeers(Instant aUntil) { this->awaitsPeersUntil = aUntil; }
   /// A peer has answered, and this daemon has no older configuration.
-  void OnPeersAnswered();
+  void OnPeersResponded();
   /// Ends waits that are over; to be called several times a second.
   void Tick();
 
--- a/Zincstep/Cluster/ObservedChanges.h
+++ b/Zincstep/Cluster/ObservedChanges.h
@@ -26,7 +26,7 @@
 
   /// The last revision behind `aFrom` up to which every change was told;
   /// `aFrom` where the next one was not.
-  StoreRevision WithoutGap(StoreRevision aFrom) const {
+  StoreRevision LastContiguous(StoreRevision aFrom) const {
     StoreRevision last = aFrom;
     if (aFrom.era != this->era) {
       return last;
--- a/Zincstep/Cluster/StoreEraTracker.h
+++ b/Zincstep/Cluster/StoreEraTracker.h
@@ -22,7 +22,7 @@
     this->onRestored = std::move(aOnRestored);
   }
   /// The present era; none before anybody told of it.
-  std::optional<std::uint64_t> Present() const { return this->present; }
+  std::optional<std::uint64_t> CurrentEra() const { return this->present; }
   /// Takes the era that an answer tells, 0 where it tells none, and says
   /// whether the answer may be believed; `aAsked` is what was present when it
   /// was asked for.
--- a/Zincstep/Cluster/StoreFollower.cpp
+++ b/Zincstep/Cluster/StoreFollower.cpp
@@ -28,7 +28,7 @@
 
 PrefixFollower::PrefixFollower(asio::io_context& aLoop, AsyncStore& aStore,
                                const Clock& aClock, std::string aPrefix,
-                               PrefixPauses aPauses, OnRange aOnRange,
+                               PrefixFollowerTiming aPauses, OnRange aOnRange,
                                OnEvents aOnEvents, OnCaughtUp aOnCaughtUp)
     : store(aStore),
       clock(aClock),
@@ -396,7 +396,7 @@
   // Saves the question for what is new under the other prefix after each
   // change, 120 of 980 calls of the store on a day with many changes.
   for (PrefixFollower* follower : {&this->upstreams, &this->own}) {
-    follower->SkipTo(this->told.WithoutGap(follower->At()));
+    follower->SkipTo(this->told.LastContiguous(follower->At()));
   }
   this->told.Forget(std::min(this->upstreams.At(), this->own.At()));
 }
--- a/Zincstep/Cluster/StoreFollower.h
+++ b/Zincstep/Cluster/StoreFollower.h
@@ -23,7 +23,7 @@
 };
 
 /// How long the follower of a prefix waits for what.
-struct PrefixPauses {
+struct PrefixFollowerTiming {
   /// Longest wait of one watch.
   Micros watchWait = 6s;
   /// Pause before the next watch after one that told of changes.
@@ -62,10 +62,10 @@
   /// Upstreams' entries: each wait is a call; changes often come in series.
   /// That an answer is lost shows in the next proof, not at the end of the
   /// wait.
-  PrefixPauses upstreamPauses{6s, 200ms, 150ms, 1s};
+  PrefixFollowerTiming upstreamPauses{6s, 200ms, 150ms, 1s};
   /// The daemons' own entries change seldom, and late news of them costs
   /// little.
-  PrefixPauses ownPauses{15s, 1s, 150ms, 1s};
+  PrefixFollowerTiming ownPauses{15s, 1s, 150ms, 1s};
   Micros initialBackoff = 150ms;
   /// Longest pause between questions of one daemon while the store does not
   /// answer.
@@ -86,8 +86,9 @@
   using OnCaughtUp = std::function<void()>;
 
   PrefixFollower(asio::io_context& aLoop, AsyncStore& aStore,
-                 const Clock& aClock, std::string aPrefix, PrefixPauses aPauses,
-                 OnRange aOnRange, OnEvents aOnEvents, OnCaughtUp aOnCaughtUp);
+                 const Clock& aClock, std::string aPrefix,
+                 PrefixFollowerTiming aPauses, OnRange aOnRange,
+                 OnEvents aOnEvents, OnCaughtUp aOnCaughtUp);
 
   /// Reads all anew; answers to earlier calls are passed over.
   void Restart();
@@ -125,7 +126,7 @@
   AsyncStore& store;
   const Clock& clock;
   std::string prefix;
-  PrefixPauses pauses;
+  PrefixFollowerTiming pauses;
   OnRange onRange;
   OnEvents onEvents;
   OnCaughtUp onCaughtUp;
--- a/Zincstep/Edge/EdgeDaemon.cpp
+++ b/Zincstep/Edge/EdgeDaemon.cpp
@@ -518,11 +518,11 @@
   this->metrics.Set("zincstep_config_version",
                     static_cast<double>(this->view.ConfigVersion()));
   this->metrics.Set("zincstep_store_era",
-                    static_cast<double>(this->eras.Present().value_or(0)));
+                    static_cast<double>(this->eras.CurrentEra().value_or(0)));
   this->metrics.Set("zincstep_upstreams",
                     static_cast<double>(this->view.Directory().All().size()));
   this->metrics.Set("zincstep_wrong_entries",
-                    static_cast<double>(this->view.WrongEntries()));
+                    static_cast<double>(this->view.InvalidEntries()));
   this->metrics.Set(
       "zincstep_blocked_requests",
       static_cast<double>(this->crashes.Blocked(this->clock.Now()).size()));
--- a/Zincstep/Edge/PeerProtocol.cpp
+++ b/Zincstep/Edge/PeerProtocol.cpp
@@ -293,7 +293,7 @@
     // The peer follows a store that has lost the version active here.
     this->SendFrame(aAddress, PeerMessageKind::Response, this->Hint());
   }
-  this->view.OnPeersAnswered();
+  this->view.OnPeersResponded();
 }
 
 void PeerProtocol::OnHint(const std::string& aAddress,
--- a/Zincstep/Edge/PeerProtocol.h
+++ b/Zincstep/Edge/PeerProtocol.h
@@ -123,7 +123,7 @@
   /// Returns a message with the version of the active configuration, without
   /// its text.
   PeerFrame Hint() const;
-  std::uint64_t Era() const { return this->eras.Present().value_or(0); }
+  std::uint64_t Era() const { return this->eras.CurrentEra().value_or(0); }
   /// Queries a peer that has announced a possibly newer configuration.
   void OnHint(const std::string& aAddress, const ClusterUpdate& aUpdate);
   /// Returns whether this daemon still has no validated lists.
