--- a/Client/Commands.cpp
+++ b/Client/Commands.cpp
@@ -339,12 +339,12 @@
   Table table({"FAILURE DOMAIN", "VM", "IN FORCE", "STATE", "LAST HEARD"});
   for (const DomainStatus& domain : *domains) {
     for (const DaemonStatus& daemon : domain.daemons) {
-      std::string state = daemon.isHeard ? "heard" : "silent";
+      std::string state = daemon.isLive ? "heard" : "silent";
       state = daemon.isStopping ? "stopping" : state;
       table.Add({domain.failureDomain, daemon.vm,
                  std::to_string(daemon.revision), state,
-                 daemon.isHeard ? "as of " + AgeOf(domain.writtenAt)
-                                : AgeOf(daemon.lastSeenAt)});
+                 daemon.isLive ? "as of " + AgeOf(domain.writtenAt)
+                               : AgeOf(daemon.lastSeenAt)});
     }
   }
   table.Print();
--- a/FuzzTests/LeaseStateTest.cpp
+++ b/FuzzTests/LeaseStateTest.cpp
@@ -58,7 +58,7 @@
     const auto found = this->memory.Get(kDuty);
     const bool mine = found && found->value == name;
     if (aAnswerLost ? mine : swapped.has_value()) {
-      holder.guard.OnTaken(found->revision, sentAt);
+      holder.guard.OnLeaseAcquired(found->revision, sentAt);
       holder.leaderSince = sentAt;
     }
   }
@@ -73,7 +73,7 @@
     if (this->memory.RenewLease(holder.lease)) {
       holder.guard.OnRenewed(sentAt);
     } else {
-      holder.guard.OnLost();
+      holder.guard.OnLeaseLost();
     }
   }
 
--- a/FuzzTests/StoreRestoreTest.cpp
+++ b/FuzzTests/StoreRestoreTest.cpp
@@ -323,10 +323,10 @@
     if (&aDaemon == &aPeer) {
       return;
     }
-    aPeer.eras.OnTold(aDaemon.eras.CurrentEra().value_or(0));
+    aPeer.eras.OnPeerReport(aDaemon.eras.CurrentEra().value_or(0));
     const std::uint64_t era = aPeer.eras.CurrentEra().value_or(0);
     const ClusterUpdate copy = aPeer.view.UpdateFor(aDaemon.view.Revisions());
-    aDaemon.eras.OnTold(era);
+    aDaemon.eras.OnPeerReport(era);
     if (era == aDaemon.eras.CurrentEra()) {
       aDaemon.view.OnUpdate(copy, this->clock.Now());
     }
--- a/UnitTests/AgreementTest.cpp
+++ b/UnitTests/AgreementTest.cpp
@@ -141,7 +141,7 @@
 
   void Lease_PausedLeader_MayNotIssueOrders() {
     LeaseGuard guard({9s, 3s});
-    guard.OnTaken(7, this->now);
+    guard.OnLeaseAcquired(7, this->now);
     CPPUNIT_ASSERT(guard.MayIssueOrders(this->now + 5s));
     CPPUNIT_ASSERT(!guard.MayIssueOrders(this->now + 6s));
     CPPUNIT_ASSERT(!guard.IsHeld(this->now + 9s));
@@ -149,7 +149,7 @@
 
   void Lease_SlowRenewal_CountsFromSendTime() {
     LeaseGuard guard({9s, 3s});
-    guard.OnTaken(7, this->now);
+    guard.OnLeaseAcquired(7, this->now);
     guard.OnRenewed(this->now + 3s);
     CPPUNIT_ASSERT(guard.IsHeld(this->now + 11s));
     CPPUNIT_ASSERT(!guard.IsHeld(this->now + 12s));
--- a/UnitTests/ClusterViewTest.cpp
+++ b/UnitTests/ClusterViewTest.cpp
@@ -156,7 +156,7 @@
         {{{{"i2", "", 55}, true}, {{"i3", EntryText("ready"), 58}, false}},
          60});
     const ClusterUpdate copy = newer.UpdateFor(view.Revisions());
-    CPPUNIT_ASSERT(!copy.upstreams->isWhole);
+    CPPUNIT_ASSERT(!copy.upstreams->isFull);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, copy.upstreams->items.size());
     view.OnUpdate(copy, clock.Now());
     CPPUNIT_ASSERT(view.Directory().Find("i1")->IsUsable(clock.Now()));
@@ -176,7 +176,7 @@
   // to the asker.
   void Copy_FromBeforeAWholeRead_IsWhole() {
     view.OnUpstreams({{{"i1", EntryText("ready"), 5}}, 50});
-    CPPUNIT_ASSERT(view.UpdateFor({{}, {40}, {}, 0}).upstreams->isWhole);
+    CPPUNIT_ASSERT(view.UpdateFor({{}, {40}, {}, 0}).upstreams->isFull);
     ClusterView asker{*decoder, *this, clock};
     asker.OnUpstreams({{{"i9", EntryText("ready"), 39}}, 40});
     asker.OnUpdate(view.UpdateFor(asker.Revisions()), clock.Now());
@@ -347,7 +347,7 @@
     view.OnStoreReachable(false);
     ClusterUpdate copy;
     copy.upstreams.emplace().at = {60};
-    copy.upstreams->isWhole = false;
+    copy.upstreams->isFull = false;
     copy.upstreams->removed = {"i2"};
     view.OnUpdate(copy, clock.Now());
     CPPUNIT_ASSERT(view.Directory().Find("i2") == nullptr);
--- a/UnitTests/EdgePeerMessageTest.cpp
+++ b/UnitTests/EdgePeerMessageTest.cpp
@@ -96,7 +96,7 @@
     response.update.configVersion = 12;
     ListUpdate& list = response.update.upstreams.emplace();
     list.at = {60, 3};
-    list.isWhole = false;
+    list.isFull = false;
     list.items = {{"i1", "text", {58, 3}}};
     list.removed = {"i2", "i3"};
     list.grace = 900ms;
@@ -108,7 +108,7 @@
     CPPUNIT_ASSERT(!update.validationAge && !update.listsAge);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, update.configVersion);
     CPPUNIT_ASSERT(update.upstreams->at == StoreRevision({60, 3}));
-    CPPUNIT_ASSERT(!update.upstreams->isWhole);
+    CPPUNIT_ASSERT(!update.upstreams->isFull);
     CPPUNIT_ASSERT_EQUAL(std::string("text"), update.upstreams->items[0].value);
     CPPUNIT_ASSERT(update.upstreams->items[0].revision ==
                    StoreRevision({58, 3}));
--- a/UnitTests/ItemListTest.cpp
+++ b/UnitTests/ItemListTest.cpp
@@ -135,8 +135,8 @@
     }
     events.at = {4000};
     mirror.OnEvents(events);
-    CPPUNIT_ASSERT(mirror.List().UpdateSince({1}).isWhole);
-    CPPUNIT_ASSERT(!mirror.List().UpdateSince({3900}).isWhole);
+    CPPUNIT_ASSERT(mirror.List().UpdateSince({1}).isFull);
+    CPPUNIT_ASSERT(!mirror.List().UpdateSince({3900}).isFull);
     CPPUNIT_ASSERT_EQUAL(std::size_t{99},
                          mirror.List().UpdateSince({3900}).removed.size());
   }
--- a/UnitTests/ObservedChangesTest.cpp
+++ b/UnitTests/ObservedChangesTest.cpp
@@ -38,7 +38,7 @@
   }
 
   void Forget_UpToARevision_KeepsLaterOnes() {
-    observed.Forget({7});
+    observed.DiscardUpTo({7});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, observed.Size());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, observed.LastContiguous({8}).number);
   }
--- a/UnitTests/PackedListsTest.cpp
+++ b/UnitTests/PackedListsTest.cpp
@@ -18,7 +18,7 @@
     ListUpdate list;
     list.at = {aNumber, aEra};
     list.items = {{"i1", "text", {aNumber, aEra}}};
-    list.isWhole = false;
+    list.isFull = false;
     return list;
   }
 
--- a/UnitTests/PeerMemoryTest.cpp
+++ b/UnitTests/PeerMemoryTest.cpp
@@ -175,7 +175,7 @@
     ClusterUpdate update;
     ListUpdate& list = update.upstreams.emplace();
     list.at = {6, 0};
-    list.isWhole = false;
+    list.isFull = false;
     list.digest = 1;
     view.OnUpdate(update, clock.Now());
     CPPUNIT_ASSERT(view.Revisions().upstreams.IsNone());
--- a/UnitTests/StoreEraTrackerTest.cpp
+++ b/UnitTests/StoreEraTrackerTest.cpp
@@ -56,9 +56,9 @@
 
   void Told_ByAPeer_IsTheSame() {
     eras.Accepts(std::nullopt, 2);
-    eras.OnTold(1);
+    eras.OnPeerReport(1);
     CPPUNIT_ASSERT_EQUAL(0, restores);
-    eras.OnTold(3);
+    eras.OnPeerReport(3);
     CPPUNIT_ASSERT_EQUAL(1, restores);
     CPPUNIT_ASSERT(!eras.Accepts(2, 3));
   }
@@ -66,7 +66,7 @@
   // Daemons that started together each took the first answer of the store for a
   // return from a copy.
   void Told_ByAPeerThatKnowsNone_IsNoEra() {
-    eras.OnTold(0);
+    eras.OnPeerReport(0);
     CPPUNIT_ASSERT(!eras.CurrentEra());
     CPPUNIT_ASSERT(eras.Accepts(std::nullopt, 3));
     CPPUNIT_ASSERT_EQUAL(0, restores);
--- a/UnitTests/StoreFollowerTest.cpp
+++ b/UnitTests/StoreFollowerTest.cpp
@@ -25,7 +25,7 @@
     this->early += 1;
     StoreRange told = this->lately;
     if (this->isLong && aPages == StalePages::First) {
-      told.isWhole = false;
+      told.isComplete = false;
     }
     this->Answer(std::move(aDone), told);
   }
--- a/Zincstep/Cluster/AsyncStore.h
+++ b/Zincstep/Cluster/AsyncStore.h
@@ -33,7 +33,7 @@
   /// on from there misses nothing.
   StoreRevision at;
   /// Whether all items are here; else there were more pages than were wanted.
-  bool isWhole = true;
+  bool isComplete = true;
 };
 
 /// One change under a watched prefix.
--- a/Zincstep/Cluster/ClusterView.cpp
+++ b/Zincstep/Cluster/ClusterView.cpp
@@ -346,7 +346,7 @@
   }
   if (tellsUpstreams && aKnown.upstreams < this->entries.At()) {
     copy.upstreams = this->entries.UpdateSince(aKnown.upstreams);
-    copy.upstreams->grace = this->ReturnGrace();
+    copy.upstreams->grace = this->RemainingGrace();
   }
   if (tellsDaemons && aKnown.daemons < this->daemons.At()) {
     copy.daemons = this->daemons.List().UpdateSince(aKnown.daemons);
--- a/Zincstep/Cluster/ClusterView.h
+++ b/Zincstep/Cluster/ClusterView.h
@@ -134,7 +134,7 @@
                                                : StoreRevision{};
   }
   /// For so long an entry that is missing may only have lapsed.
-  Micros ReturnGrace() const {
+  Micros RemainingGrace() const {
     return std::max(Micros{0}, this->GraceEnd() - this->clock.Now());
   }
   /// What a peer need not tell.
--- a/Zincstep/Cluster/ItemList.cpp
+++ b/Zincstep/Cluster/ItemList.cpp
@@ -85,7 +85,7 @@
 
 bool ItemList::IsNews(const ListUpdate& aCopy) const {
   if (this->mayBeIncomplete) {
-    return aCopy.isWhole && aCopy.at >= this->at;
+    return aCopy.isFull && aCopy.at >= this->at;
   }
   return aCopy.at > this->at;
 }
@@ -112,11 +112,11 @@
 }
 
 std::vector<std::string> ItemList::RemovedBy(const ListUpdate& aCopy) const {
-  return aCopy.isWhole ? this->AbsentFrom(aCopy.items) : aCopy.removed;
+  return aCopy.isFull ? this->AbsentFrom(aCopy.items) : aCopy.removed;
 }
 
 void ItemList::Complete(const ListUpdate& aCopy) {
-  if (aCopy.isWhole) {
+  if (aCopy.isFull) {
     this->Restart(aCopy.at);
   } else {
     this->Advance(aCopy.at);
@@ -127,16 +127,16 @@
   LogWarning("list_differs", {{"at", this->at.number},
                               {"era", this->at.era},
                               {"items", this->items.size()},
-                              {"told_whole", aCopy.isWhole}});
-  this->mayBeIncomplete = !aCopy.isWhole;
+                              {"told_whole", aCopy.isFull}});
+  this->mayBeIncomplete = !aCopy.isFull;
 }
 
 ListUpdate ItemList::UpdateSince(StoreRevision aSince) const {
   ListUpdate copy;
   copy.at = this->at;
   copy.digest = this->digest;
-  copy.isWhole = aSince.IsNone() || !this->KnowsRemovalsSince(aSince);
-  if (copy.isWhole) {
+  copy.isFull = aSince.IsNone() || !this->KnowsRemovalsSince(aSince);
+  if (copy.isFull) {
     for (const auto& [key, item] : this->items) {
       copy.items.push_back(item);
     }
--- a/Zincstep/Cluster/ItemList.h
+++ b/Zincstep/Cluster/ItemList.h
@@ -19,7 +19,7 @@
   /// Revision of the store up to which it is complete.
   StoreRevision at;
   /// Whether all items are here; else those since the asker's revision.
-  bool isWhole = true;
+  bool isFull = true;
   std::vector<StoreItem> items;
   /// Keys that have gone since; none where the list is whole.
   std::vector<std::string> removed;
--- a/Zincstep/Cluster/ObservedChanges.h
+++ b/Zincstep/Cluster/ObservedChanges.h
@@ -39,7 +39,7 @@
   }
 
   /// Nobody asks for changes up to that revision any more.
-  void Forget(StoreRevision aUpTo) {
+  void DiscardUpTo(StoreRevision aUpTo) {
     if (aUpTo.era == this->era) {
       this->numbers.erase(this->numbers.begin(),
                           this->numbers.upper_bound(aUpTo.number));
--- a/Zincstep/Cluster/PlacementController.cpp
+++ b/Zincstep/Cluster/PlacementController.cpp
@@ -55,7 +55,7 @@
   if (!this->guard.IsHeld(this->clock.Now())) {
     return;
   }
-  this->guard.OnLost();
+  this->guard.OnLeaseLost();
   this->store.End(this->lease, [](const Result<bool>& aEnded) {
     LogInfo("placement_duty_given_up", {{"told", aEnded.has_value()}});
   });
@@ -66,7 +66,7 @@
   if (this->guard.IsHeld(now)) {
     LogWarning("placement_duty_lost", {{"reason", "the store was restored"}});
   }
-  this->guard.OnLost();
+  this->guard.OnLeaseLost();
   this->orders.Clear();
   this->holder.clear();
   this->nextAttempt = now + this->settings.lease.ttl;
@@ -95,7 +95,7 @@
           this->isAsking = false;
           if (aTaken && aTaken->done) {
             this->fence = aTaken->revision;
-            this->guard.OnTaken(this->fence.number, sentAt);
+            this->guard.OnLeaseAcquired(this->fence.number, sentAt);
             this->orders.Clear();
             LogInfo("placement_duty_taken",
                     {{"fence", this->fence.number}, {"era", this->fence.era}});
@@ -117,7 +117,7 @@
     if (aRenewed) {
       this->guard.OnRenewed(sentAt);
     } else if (aRenewed.error().kind == ErrorKind::LeaseLost) {
-      this->guard.OnLost();
+      this->guard.OnLeaseLost();
       this->holder.clear();
       LogWarning("placement_duty_lost", {});
     }
--- a/Zincstep/Cluster/StoreEraTracker.h
+++ b/Zincstep/Cluster/StoreEraTracker.h
@@ -28,7 +28,7 @@
   /// was asked for.
   bool Accepts(std::optional<std::uint64_t> aAsked, std::uint64_t aAnswered);
   /// Another daemon has seen this era; 0: it has seen none.
-  void OnTold(std::uint64_t aEra) {
+  void OnPeerReport(std::uint64_t aEra) {
     if (aEra > 0) {
       this->Note(aEra);
     }
--- a/Zincstep/Cluster/StoreFollower.cpp
+++ b/Zincstep/Cluster/StoreFollower.cpp
@@ -202,7 +202,7 @@
           },
           [this] { this->ValidateLists(); }),
       own(
-          aLoop, aStore, aClock, this->settings.keys.own,
+          aLoop, aStore, aClock, this->settings.keys.daemons,
           this->settings.ownPauses,
           [this](const StoreRange& aRange) { this->view.OnDaemons(aRange); },
           [this](const StoreEvents& aEvents) {
@@ -223,7 +223,7 @@
 }
 
 void StoreFollower::ReadBootstrapDaemons() {
-  const std::string& prefix = this->settings.keys.near;
+  const std::string& prefix = this->settings.keys.domainDaemons;
   this->store.RangeStale(
       prefix, StalePages::All, [this, prefix](Result<StoreRange> aRange) {
         if (!aRange) {
@@ -232,7 +232,8 @@
           return;
         }
         this->OnBootstrap(
-            WithoutPrefix(std::move(*aRange), this->settings.keys.own).items);
+            WithoutPrefix(std::move(*aRange), this->settings.keys.daemons)
+                .items);
       });
 }
 
@@ -262,7 +263,7 @@
       [this, prefix](Result<StoreRange> aRange) {
         if (!aRange) {
           LogStaleReadFailed(prefix, aRange.error());
-        } else if (aRange->isWhole) {
+        } else if (aRange->isComplete) {
           this->view.OnUpstreams(WithoutPrefix(std::move(*aRange), prefix));
         }
       });
@@ -398,7 +399,7 @@
   for (PrefixFollower* follower : {&this->upstreams, &this->own}) {
     follower->SkipTo(this->told.LastContiguous(follower->At()));
   }
-  this->told.Forget(std::min(this->upstreams.At(), this->own.At()));
+  this->told.DiscardUpTo(std::min(this->upstreams.At(), this->own.At()));
 }
 
 void StoreFollower::ValidateLists() {
--- a/Zincstep/Cluster/StoreFollower.h
+++ b/Zincstep/Cluster/StoreFollower.h
@@ -17,9 +17,9 @@
   /// Prefix of upstreams' entries; what follows is the id.
   std::string upstreams;
   /// Prefix under which daemons keep entries of their own.
-  std::string own;
+  std::string daemons;
   /// What the entries of this failure domain's daemons begin with.
-  std::string near;
+  std::string domainDaemons;
 };
 
 /// How long the follower of a prefix waits for what.
--- a/Zincstep/Control/DomainStatus.cpp
+++ b/Zincstep/Control/DomainStatus.cpp
@@ -17,12 +17,12 @@
                        {"member", daemon.member},
                        {"address", daemon.address},
                        {"revision", daemon.revision},
-                       {"heard", daemon.isHeard},
+                       {"heard", daemon.isLive},
                        {"stopping", daemon.isStopping},
                        {"heard_at", daemon.lastSeenAt}});
   }
   return Json{{"failure_domain", aStatus.failureDomain},
-              {"holder", aStatus.holder},
+              {"holder", aStatus.leader},
               {"fence", aStatus.fence},
               {"written_at", aStatus.writtenAt},
               {"daemons", std::move(daemons)},
@@ -36,7 +36,7 @@
     const Json json = Json::parse(aText);
     DomainStatus status;
     status.failureDomain = json.at("failure_domain").get<std::string>();
-    status.holder = json.at("holder").get<std::string>();
+    status.leader = json.at("holder").get<std::string>();
     status.fence = json.at("fence").get<std::uint64_t>();
     status.writtenAt = json.at("written_at").get<std::int64_t>();
     status.stuck = json.at("stuck").get<std::map<std::string, std::string>>();
@@ -47,7 +47,7 @@
       daemon.member = item.at("member").get<std::string>();
       daemon.address = item.at("address").get<std::string>();
       daemon.revision = item.at("revision").get<std::uint64_t>();
-      daemon.isHeard = item.at("heard").get<bool>();
+      daemon.isLive = item.at("heard").get<bool>();
       daemon.isStopping = item.at("stopping").get<bool>();
       daemon.lastSeenAt = item.at("heard_at").get<std::int64_t>();
       status.daemons.push_back(std::move(daemon));
--- a/Zincstep/Control/DomainStatus.h
+++ b/Zincstep/Control/DomainStatus.h
@@ -16,7 +16,7 @@
   std::string address;
   /// Revision that is in force there; 0 for none.
   std::uint64_t revision = 0;
-  bool isHeard = false;
+  bool isLive = false;
   bool isStopping = false;
   /// Microseconds since 1970 at which it was last heard.
   std::int64_t lastSeenAt = 0;
@@ -25,7 +25,7 @@
 /// What the control duty of a domain writes for operators to read.
 struct DomainStatus {
   std::string failureDomain;
-  std::string holder;
+  std::string leader;
   std::uint64_t fence = 0;
   /// Microseconds since 1970 at which it was written.
   std::int64_t writtenAt = 0;
--- a/Zincstep/Control/LeaseGuard.h
+++ b/Zincstep/Control/LeaseGuard.h
@@ -26,7 +26,7 @@
   explicit LeaseGuard(LeaseGuardSettings aSettings) : settings(aSettings) {}
 
   /// The duty was taken by a write that was sent at `aSentAt`.
-  void OnTaken(std::uint64_t aFence, Instant aSentAt) {
+  void OnLeaseAcquired(std::uint64_t aFence, Instant aSentAt) {
     this->fence = aFence;
     this->validUntil = aSentAt + this->settings.ttl;
     this->held = true;
@@ -41,7 +41,7 @@
   }
 
   /// The duty is lost, or given up.
-  void OnLost() { this->held = false; }
+  void OnLeaseLost() { this->held = false; }
 
   /// Whether an order may be sent now. Ask before each one.
   bool MayIssueOrders(Instant aNow) const {
--- a/Zincstep/Edge/EdgeDaemon.cpp
+++ b/Zincstep/Edge/EdgeDaemon.cpp
@@ -147,8 +147,8 @@
       const EdgeSettings& aSettings, const ClusterKeys& aKeys) {
     StoreFollowerSettings settings;
     settings.keys = aKeys;
-    settings.keys.near =
-        aKeys.own + DaemonEntry::PrefixOf(aSettings.failureDomain);
+    settings.keys.domainDaemons =
+        aKeys.daemons + DaemonEntry::PrefixOf(aSettings.failureDomain);
     settings.maxSyncStaleness = MaxSyncStaleness(aSettings);
     return settings;
   }
--- a/Zincstep/Edge/EdgePeerMessage.cpp
+++ b/Zincstep/Edge/EdgePeerMessage.cpp
@@ -51,7 +51,7 @@
   }
   const auto encoded = aBuilder.CreateVector(entries);
   const auto removed = aBuilder.CreateVectorOfStrings(aList.removed);
-  return edgewire::CreateEntryList(aBuilder, aList.at.number, aList.isWhole,
+  return edgewire::CreateEntryList(aBuilder, aList.at.number, aList.isFull,
                                    encoded, removed, aList.grace.count(),
                                    aList.digest);
 }
@@ -215,7 +215,7 @@
   }
   ListUpdate update;
   update.at = {aTable->at(), aEra};
-  update.isWhole = aTable->whole();
+  update.isFull = aTable->whole();
   update.grace = Micros{aTable->grace_us()};
   update.digest = aTable->digest();
   if (aTable->entries() != nullptr) {
--- a/Zincstep/Edge/PackedLists.cpp
+++ b/Zincstep/Edge/PackedLists.cpp
@@ -49,7 +49,7 @@
   }
   this->lists.push_back({aSince,
                          std::make_shared<const std::string>(PackList(aList)),
-                         aList.isWhole});
+                         aList.isFull});
   return this->lists.back();
 }
 
--- a/Zincstep/Edge/PeerMembers.cpp
+++ b/Zincstep/Edge/PeerMembers.cpp
@@ -119,7 +119,7 @@
 }
 
 void PeerMembers::OnEntries(const ListUpdate& aChanges) {
-  if (aChanges.isWhole) {
+  if (aChanges.isFull) {
     std::set<std::string> present;
     for (const StoreItem& item : aChanges.items) {
       present.insert(DaemonEntry::NameOf(item.key));
--- a/Zincstep/Edge/PeerProtocol.cpp
+++ b/Zincstep/Edge/PeerProtocol.cpp
@@ -157,11 +157,11 @@
   } else if (const auto* limits = std::get_if<LimitGossip>(&aMessage.body)) {
     this->onLimits(*limits, aMessage.sender, aMessage.replyTo);
   } else if (const auto* query = std::get_if<ClusterQuery>(&aMessage.body)) {
-    this->eras.OnTold(query->era);
+    this->eras.OnPeerReport(query->era);
     this->OnQuery(aMessage.sender, aMessage.replyTo, *query);
   } else if (const auto* response =
                  std::get_if<ClusterResponse>(&aMessage.body)) {
-    this->eras.OnTold(response->era);
+    this->eras.OnPeerReport(response->era);
     response->queryId == kUnsolicited
         ? this->OnHint(aMessage.replyTo, response->update)
         : this->OnResponse(*response);
--- a/Zincstep/Edge/PeerResponder.cpp
+++ b/Zincstep/Edge/PeerResponder.cpp
@@ -86,7 +86,7 @@
   }
   if (changedUpstreams != nullptr) {
     response.packedUpstreams = changedUpstreams->bytes;
-    response.packedGrace = this->view.ReturnGrace();
+    response.packedGrace = this->view.RemainingGrace();
   }
   if (changedDaemons != nullptr) {
     response.packedDaemons = changedDaemons->bytes;
--- a/Zincstep/Entry/DomainController.cpp
+++ b/Zincstep/Entry/DomainController.cpp
@@ -137,7 +137,7 @@
   if (renewed) {
     this->guard.OnRenewed(sentAt);
   } else if (renewed.error().kind == ErrorKind::LeaseLost) {
-    this->guard.OnLost();
+    this->guard.OnLeaseLost();
     LogWarning("duty_lost", {{"domain", this->settings.failureDomain}});
   }
 }
@@ -165,7 +165,7 @@
     return;
   }
   // Counted from before the grant: never later than the service counts.
-  this->guard.OnTaken(fence, aNow);
+  this->guard.OnLeaseAcquired(fence, aNow);
   this->leaderSince = aNow;
   LogInfo("duty_taken",
           {{"domain", this->settings.failureDomain}, {"fence", fence}});
@@ -175,7 +175,7 @@
   if (!this->guard.IsHeld(this->clock.Now())) {
     return;
   }
-  this->guard.OnLost();
+  this->guard.OnLeaseLost();
   (void)this->store.Remove(this->LeadershipKey(), this->guard.Fence());
 }
 
@@ -299,7 +299,7 @@
   }
   DomainStatus status;
   status.failureDomain = this->settings.failureDomain;
-  status.holder = this->member;
+  status.leader = this->member;
   status.fence = this->guard.Fence();
   status.daemons = this->input->daemons;
   status.stuck = this->report.stuck;
--- a/Zincstep/Entry/PeerHandler.cpp
+++ b/Zincstep/Entry/PeerHandler.cpp
@@ -257,7 +257,7 @@
   own.member = this->context.member;
   own.address = this->context.settings.adminListen;
   own.revision = this->context.snapshot ? this->context.snapshot->revision : 0;
-  own.isHeard = true;
+  own.isLive = true;
   own.isStopping = this->context.stopping;
   own.lastSeenAt = WallMicrosAt(now, now);
   daemons.push_back(std::move(own));
@@ -267,9 +267,10 @@
     status.member = peer->member;
     status.address = peer->address;
     status.revision = peer->revision;
-    status.isHeard = this->context.peers.IsHeard(*peer, now);
+    status.isLive = this->context.peers.IsLive(*peer, now);
     status.isStopping = peer->stopping;
-    status.lastSeenAt = peer->heard ? WallMicrosAt(peer->lastSeenAt, now) : 0;
+    status.lastSeenAt =
+        peer->hasGossip ? WallMicrosAt(peer->lastSeenAt, now) : 0;
     daemons.push_back(std::move(status));
   }
   return daemons;
@@ -279,7 +280,7 @@
   const Instant now = this->context.clock.Now();
   const PeerInfo* best = nullptr;
   for (const PeerInfo* peer : this->context.peers.DomainPeers()) {
-    const bool lives = this->context.peers.IsHeard(*peer, now) &&
+    const bool lives = this->context.peers.IsLive(*peer, now) &&
                        !peer->stopping && peer->handedTo.empty();
     if (lives && (best == nullptr || peer->vm < best->vm)) {
       best = peer;
@@ -304,7 +305,7 @@
                           this->context.settings.peerListen});
   }
   for (const PeerInfo* peer : this->context.peers.DomainPeers()) {
-    if (this->context.peers.IsHeard(*peer, now) && !peer->stopping) {
+    if (this->context.peers.IsLive(*peer, now) && !peer->stopping) {
       input.live.push_back(
           {peer->member, peer->failureDomain, peer->peerAddress});
     }
--- a/Zincstep/Entry/StatusHandler.cpp
+++ b/Zincstep/Entry/StatusHandler.cpp
@@ -122,7 +122,7 @@
   for (const DaemonStatus& one : this->peers.Daemons()) {
     daemons.push_back({{"vm", one.vm},
                        {"revision", one.revision},
-                       {"heard", one.isHeard},
+                       {"heard", one.isLive},
                        {"stopping", one.isStopping},
                        {"heard_at", one.lastSeenAt}});
   }
--- a/Zincstep/Membership/PeerTable.cpp
+++ b/Zincstep/Membership/PeerTable.cpp
@@ -47,7 +47,7 @@
   peer.membersVersion = aGossip.membersVersion;
   peer.handedTo = aGossip.handedTo;
   peer.stopping = aGossip.stopping || (peer.stopping && !isNew);
-  peer.heard = true;
+  peer.hasGossip = true;
   peer.lastSeenAt = aNow;
 }
 
@@ -66,7 +66,7 @@
   std::string best = this->ownVm;
   std::uint64_t bestScore = RendezvousScore(key, this->ownVm);
   for (const PeerInfo* peer : this->DomainPeers()) {
-    if (!this->IsHeard(*peer, aNow) || peer->stopping) {
+    if (!this->IsLive(*peer, aNow) || peer->stopping) {
       continue;
     }
     const std::uint64_t score = RendezvousScore(key, peer->vm);
@@ -81,7 +81,7 @@
 int PeerTable::LiveDaemons(Instant aNow) const {
   int count = 1;
   for (const PeerInfo* peer : this->DomainPeers()) {
-    count += this->IsHeard(*peer, aNow) ? 1 : 0;
+    count += this->IsLive(*peer, aNow) ? 1 : 0;
   }
   return count;
 }
--- a/Zincstep/Membership/PeerTable.h
+++ b/Zincstep/Membership/PeerTable.h
@@ -22,7 +22,7 @@
   std::uint64_t membersVersion = 0;
   bool stopping = false;
   std::string handedTo;
-  bool heard = false;
+  bool hasGossip = false;
   Instant lastSeenAt;
 };
 
@@ -54,8 +54,8 @@
   /// All peers.
   const std::map<std::string, PeerInfo>& All() const { return this->peers; }
   /// Whether a peer was heard of late.
-  bool IsHeard(const PeerInfo& aPeer, Instant aNow) const {
-    return aPeer.heard && aNow - aPeer.lastSeenAt <= this->settings.silence;
+  bool IsLive(const PeerInfo& aPeer, Instant aNow) const {
+    return aPeer.hasGossip && aNow - aPeer.lastSeenAt <= this->settings.silence;
   }
   /// The VM of this domain that has a duty, by rendezvous hashing over
   /// those that are heard, this one included.
