--- a/Zincstep/Cluster/PrefixMirror.h
+++ b/Zincstep/Cluster/PrefixMirror.h
@@ -6,21 +6,21 @@
 
 namespace zincstep {
 
-/// The items under one prefix, as of one revision of the store.
+/// The items under one prefix as of one revision of the store.
 ///
-/// An older revision is passed over, whoever brings it.
+/// An older revision is ignored, wherever it comes from.
 class PrefixMirror {
  public:
-  /// All items, from the store.
+  /// Applies the full list read from the store.
   void OnRange(const StoreRange& aRange);
-  /// Changes of some, from the store.
+  /// Applies changes reported by the store.
   void OnEvents(const StoreEvents& aEvents);
-  /// What a peer tells; gives whether it was news.
-  bool OnUpdate(const ListUpdate& aCopy);
+  /// Applies a peer's update; returns whether it held any changes.
+  bool OnUpdate(const ListUpdate& aUpdate);
 
   const ItemList& List() const { return this->list; }
   const StoreItems& Items() const { return this->list.Items(); }
-  /// The value of a key; empty where it is not there.
+  /// Returns the value of a key; empty if the key does not exist.
   std::string ValueOf(const std::string& aKey) const;
   StoreRevision At() const { return this->list.At(); }
 
--- a/Zincstep/Cluster/StoreEraTracker.cpp
+++ b/Zincstep/Cluster/StoreEraTracker.cpp
@@ -2,22 +2,22 @@
 
 namespace zincstep {
 
-void StoreEraTracker::Note(std::uint64_t aEra) {
-  if (this->present && aEra <= *this->present) {
+void StoreEraTracker::Update(std::uint64_t aEra) {
+  if (this->current && aEra <= *this->current) {
     return;
   }
-  const std::optional<std::uint64_t> before = this->present;
-  this->present = aEra;
-  if (before && this->onRestored) {
-    this->onRestored(*before, aEra);
+  const std::optional<std::uint64_t> previous = this->current;
+  this->current = aEra;
+  if (previous && this->onRestored) {
+    this->onRestored(*previous, aEra);
   }
 }
 
-bool StoreEraTracker::Accepts(std::optional<std::uint64_t> aAsked,
-                              std::uint64_t aAnswered) {
-  this->Note(aAnswered);
-  const bool isAskedNow = !aAsked || *aAsked == *this->present;
-  return isAskedNow && aAnswered == *this->present;
+bool StoreEraTracker::Accepts(std::optional<std::uint64_t> aRequestEra,
+                              std::uint64_t aResponseEra) {
+  this->Update(aResponseEra);
+  const bool isRequestCurrent = !aRequestEra || *aRequestEra == *this->current;
+  return isRequestCurrent && aResponseEra == *this->current;
 }
 
 }  // namespace zincstep
--- a/Zincstep/Cluster/StoreEraTracker.h
+++ b/Zincstep/Cluster/StoreEraTracker.h
@@ -6,38 +6,39 @@
 
 namespace zincstep {
 
-/// Knows in which era the platform's store is, and which of its answers may be
-/// believed.
+/// Tracks the era of the platform's store and decides which of its responses
+/// are valid.
 ///
-/// Each answer tells the era of the store that gave it. One that was asked for
-/// in another era is about numbers that stand for other changes now: a
-/// condition may hold by chance, a watch may pass over what was lost.
+/// Each response carries the era of the store that sent it. A response to a
+/// request of another era refers to revisions that now stand for other changes:
+/// a condition may hold by chance and a watch may skip what was lost.
 class StoreEraTracker {
  public:
-  /// Called with the era before and the present one.
+  /// Called with the previous and the current era.
   using OnRestored = std::function<void(std::uint64_t, std::uint64_t)>;
 
-  /// Sets who is told that the store has come back from a copy.
+  /// Sets the callback for a restore of the store from a backup.
   void SetOnRestored(OnRestored aOnRestored) {
     this->onRestored = std::move(aOnRestored);
   }
-  /// The present era; none before anybody told of it.
-  std::optional<std::uint64_t> CurrentEra() const { return this->present; }
-  /// Takes the era that an answer tells, 0 where it tells none, and says
-  /// whether the answer may be believed; `aAsked` is what was present when it
-  /// was asked for.
-  bool Accepts(std::optional<std::uint64_t> aAsked, std::uint64_t aAnswered);
-  /// Another daemon has seen this era; 0: it has seen none.
+  /// The current era; none before the first response or report.
+  std::optional<std::uint64_t> CurrentEra() const { return this->current; }
+  /// Records the era of a response, 0 if it carries none, and returns whether
+  /// the response is valid; `aRequestEra` is the era that was current when the
+  /// request was sent.
+  bool Accepts(std::optional<std::uint64_t> aRequestEra,
+               std::uint64_t aResponseEra);
+  /// Records the era that another daemon has seen; 0: it has seen none.
   void OnPeerReport(std::uint64_t aEra) {
     if (aEra > 0) {
-      this->Note(aEra);
+      this->Update(aEra);
     }
   }
 
  private:
-  void Note(std::uint64_t aEra);
+  void Update(std::uint64_t aEra);
 
-  std::optional<std::uint64_t> present;
+  std::optional<std::uint64_t> current;
   OnRestored onRestored;
 };
 
--- a/Zincstep/Cluster/StoreFollower.cpp
+++ b/Zincstep/Cluster/StoreFollower.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// Wait of a watch that asks for what is new by now, the shortest there is.
+/// The shortest wait of a watch, for one that only requests the changes so far.
 constexpr Micros kNoWait = 1ms;
 
-/// A list with its keys as the view has them.
+/// Removes the prefix from the keys, as the view expects.
 StoreRange WithoutPrefix(StoreRange aRange, const std::string& aPrefix) {
   for (StoreItem& item : aRange.items) {
     item.key.erase(0, aPrefix.size());
@@ -28,30 +28,30 @@
 
 PrefixFollower::PrefixFollower(asio::io_context& aLoop, AsyncStore& aStore,
                                const Clock& aClock, std::string aPrefix,
-                               PrefixFollowerTiming aPauses, OnRange aOnRange,
+                               PrefixFollowerTiming aTiming, OnRange aOnRange,
                                OnEvents aOnEvents, OnCaughtUp aOnCaughtUp)
     : store(aStore),
       clock(aClock),
       prefix(std::move(aPrefix)),
-      pauses(aPauses),
+      timing(aTiming),
       onRange(std::move(aOnRange)),
       onEvents(std::move(aOnEvents)),
       onCaughtUp(std::move(aOnCaughtUp)),
       timer(aLoop),
-      retry(aPauses.initialBackoff) {}
+      backoff(aTiming.initialBackoff) {}
 
 void PrefixFollower::BeginRound() {
   this->round += 1;
   this->isWatching = false;
-  this->isWaiting = false;
+  this->isWatchPending = false;
   this->isCatchingUp = false;
-  this->hasMissed = false;
+  this->hasMissedChanges = false;
 }
 
 void PrefixFollower::Restart() {
   this->BeginRound();
   this->isPaused = false;
-  this->retry = this->pauses.initialBackoff;
+  this->backoff = this->timing.initialBackoff;
   this->Read(this->round);
 }
 
@@ -70,7 +70,7 @@
       this->RetryLater(aRound);
       return;
     }
-    this->retry = this->pauses.initialBackoff;
+    this->backoff = this->timing.initialBackoff;
     this->at = aRange->at;
     this->onRange(WithoutPrefix(std::move(*aRange), this->prefix));
     this->isWatching = true;
@@ -80,35 +80,36 @@
 }
 
 void PrefixFollower::Watch(std::uint64_t aRound) {
-  this->isWaiting = true;
+  this->isWatchPending = true;
   this->store.Watch(
-      this->prefix, this->at, this->pauses.watchWait,
-      [this, aRound, began = this->clock.Now()](Result<StoreEvents> aEvents) {
+      this->prefix, this->at, this->timing.watchTimeout,
+      [this, aRound,
+       startedAt = this->clock.Now()](Result<StoreEvents> aEvents) {
         if (aRound == this->round) {
-          this->OnWatched(aRound, began, std::move(aEvents));
+          this->OnWatchResult(aRound, startedAt, std::move(aEvents));
         }
       });
 }
 
-void PrefixFollower::OnWatched(std::uint64_t aRound, Instant aBegan,
-                               Result<StoreEvents> aEvents) {
-  this->isWaiting = false;
+void PrefixFollower::OnWatchResult(std::uint64_t aRound, Instant aStartedAt,
+                                   Result<StoreEvents> aEvents) {
+  this->isWatchPending = false;
   if (!aEvents) {
-    // A cut watch may have missed changes, whatever the reason.
+    // A failed watch may have missed changes, whatever the reason.
     LogInfo("store_watch_lost",
             {{"prefix", this->prefix},
-             {"waited_ms", (this->clock.Now() - aBegan) / 1ms},
+             {"waited_ms", (this->clock.Now() - aStartedAt) / 1ms},
              {"at", this->at.number},
              {"reason", aEvents.error().message}});
     this->RetryLater(aRound);
     return;
   }
-  const bool hadNews = !aEvents->events.empty();
-  this->Take(std::move(*aEvents));
-  hadNews ? this->WatchLater(aRound) : this->Watch(aRound);
+  const bool hadChanges = !aEvents->events.empty();
+  this->ApplyEvents(std::move(*aEvents));
+  hadChanges ? this->WatchLater(aRound) : this->Watch(aRound);
 }
 
-void PrefixFollower::Take(StoreEvents aEvents) {
+void PrefixFollower::ApplyEvents(StoreEvents aEvents) {
   this->at = std::max(this->at, aEvents.at);
   for (StoreEvent& event : aEvents.events) {
     event.item.key.erase(0, this->prefix.size());
@@ -126,34 +127,34 @@
       this->prefix, this->at, kNoWait,
       [this, aRound = this->round, aRevision](Result<StoreEvents> aEvents) {
         if (aRound == this->round) {
-          this->OnMissed(aRevision, std::move(aEvents));
+          this->OnCatchUpEvents(aRevision, std::move(aEvents));
         }
       });
 }
 
-void PrefixFollower::OnMissed(StoreRevision aRevision,
-                              Result<StoreEvents> aEvents) {
+void PrefixFollower::OnCatchUpEvents(StoreRevision aRevision,
+                                     Result<StoreEvents> aEvents) {
   this->isCatchingUp = false;
   if (!aEvents) {
     if (aEvents.error().kind == ErrorKind::HistoryLost) {
-      // The watch that should have told may end later: it must not read too.
+      // The stalled watch may end later and must not start a read too.
       this->BeginRound();
       this->RetryLater(this->round);
     }
-    return;  // The next proof asks again.
+    return;  // The next validation requests them again.
   }
-  const bool isNews = !aEvents->events.empty() && aEvents->at > this->at;
+  const bool hasChanges = !aEvents->events.empty() && aEvents->at > this->at;
   const StoreRevision before = this->at;
   if (aEvents->events.empty()) {
     this->at = std::max(this->at, aRevision);
   }
-  this->hasMissed = this->hasMissed || isNews;
-  this->Take(std::move(*aEvents));
-  if (isNews && this->at < aRevision) {
-    this->CatchUp(aRevision);  // The answer may hold the first changes alone.
+  this->hasMissedChanges = this->hasMissedChanges || hasChanges;
+  this->ApplyEvents(std::move(*aEvents));
+  if (hasChanges && this->at < aRevision) {
+    this->CatchUp(aRevision);  // The response may hold only the first changes.
     return;
   }
-  if (std::exchange(this->hasMissed, false) && this->isWaiting) {
+  if (std::exchange(this->hasMissedChanges, false) && this->isWatchPending) {
     LogInfo("store_watch_replaced", {{"prefix", this->prefix},
                                      {"watch_at", before.number},
                                      {"at", this->at.number}});
@@ -164,7 +165,7 @@
 }
 
 void PrefixFollower::WatchLater(std::uint64_t aRound) {
-  this->timer.expires_after(this->pauses.gather);
+  this->timer.expires_after(this->timing.batchDelay);
   this->timer.async_wait([this, aRound](const asio::error_code& aError) {
     if (!aError && aRound == this->round) {
       this->Watch(aRound);
@@ -174,8 +175,8 @@
 
 void PrefixFollower::RetryLater(std::uint64_t aRound) {
   this->isWatching = false;
-  this->timer.expires_after(this->retry);
-  this->retry = std::min(this->retry * 2, this->pauses.maxBackoff);
+  this->timer.expires_after(this->backoff);
+  this->backoff = std::min(this->backoff * 2, this->timing.maxBackoff);
   this->timer.async_wait([this, aRound](const asio::error_code& aError) {
     if (!aError && aRound == this->round) {
       this->Read(aRound);
@@ -194,24 +195,24 @@
       bootstrapTimer(aLoop),
       upstreams(
           aLoop, aStore, aClock, this->settings.keys.upstreams,
-          this->settings.upstreamPauses,
+          this->settings.upstreamTiming,
           [this](const StoreRange& aRange) { this->view.OnUpstreams(aRange); },
           [this](const StoreEvents& aEvents) {
-            this->NoteTold(aEvents);
+            this->RecordObserved(aEvents);
             this->view.OnUpstreamEvents(aEvents);
           },
           [this] { this->ValidateLists(); }),
-      own(
+      daemons(
           aLoop, aStore, aClock, this->settings.keys.daemons,
-          this->settings.ownPauses,
+          this->settings.daemonTiming,
           [this](const StoreRange& aRange) { this->view.OnDaemons(aRange); },
           [this](const StoreEvents& aEvents) {
-            this->NoteTold(aEvents);
+            this->RecordObserved(aEvents);
             this->view.OnDaemonEvents(aEvents);
           },
           [this] { this->ValidateLists(); }) {
   this->upstreams.Pause();
-  this->own.Pause();
+  this->daemons.Pause();
 }
 
 void StoreFollower::Start(bool aPeersFirst) {
@@ -239,7 +240,7 @@
 
 void StoreFollower::OnBootstrap(const std::vector<StoreItem>& aDaemons) {
   const bool knowsPeers = !this->onBootstrap || this->onBootstrap(aDaemons);
-  if (this->MayAsk()) {
+  if (this->MayQueryStore()) {
     this->ReadStaleUpstreams();
     this->Validate();
     return;
@@ -273,19 +274,19 @@
   if (!this->awaitingPeersSince || !this->HasSyncSource()) {
     return false;
   }
-  const Micros waited = this->clock.Now() - *this->awaitingPeersSince;
+  const Micros elapsed = this->clock.Now() - *this->awaitingPeersSince;
   const auto rank = static_cast<std::int64_t>(this->Rank());
-  const Micros patience = this->IsFresh() ? this->settings.maxStartWait
-                                          : this->settings.syncSourceTimeout;
-  return waited < patience + rank * this->settings.syncTimeoutStep;
+  const Micros timeout = this->IsFresh() ? this->settings.maxStartWait
+                                         : this->settings.syncSourceTimeout;
+  return elapsed < timeout + rank * this->settings.syncTimeoutStep;
 }
 
 bool StoreFollower::IsFresh() const {
-  const auto proof = this->view.ValidationAge();
+  const auto validation = this->view.ValidationAge();
   const auto lists = this->view.ListsAge();
-  // Before the first proof the lists count alone.
+  // Before the first validation only the lists count.
   return lists && *lists <= this->settings.maxSyncStaleness &&
-         (!proof || *proof <= this->settings.maxSyncStaleness);
+         (!validation || *validation <= this->settings.maxSyncStaleness);
 }
 
 bool StoreFollower::IsSyncingFromPeer() const {
@@ -293,24 +294,24 @@
          this->IsFresh();
 }
 
-void StoreFollower::FollowLists(bool aFollows) {
-  // While the store does not answer, one kind of call finds out when it does
-  // again; all is read anew then.
-  const bool reads = aFollows && this->isReached;
-  for (PrefixFollower* follower : {&this->upstreams, &this->own}) {
-    if (!reads && !follower->IsPaused()) {
+void StoreFollower::FollowLists(bool aShouldFollow) {
+  // While the store does not respond, only validations call it, to detect its
+  // return; then all is read again.
+  const bool shouldFollow = aShouldFollow && this->isStoreReachable;
+  for (PrefixFollower* follower : {&this->upstreams, &this->daemons}) {
+    if (!shouldFollow && !follower->IsPaused()) {
       follower->Pause();
-    } else if (reads && follower->IsPaused()) {
+    } else if (shouldFollow && follower->IsPaused()) {
       follower->Restart();
     }
   }
 }
 
 void StoreFollower::Validate() {
-  const bool relies = this->IsSyncingFromPeer();
-  if (relies || !this->MayAsk()) {
-    if (relies && !this->isReached) {
-      this->SetReached(StoreCommit{});  // By the peer that asks it.
+  const bool isSyncing = this->IsSyncingFromPeer();
+  if (isSyncing || !this->MayQueryStore()) {
+    if (isSyncing && !this->isStoreReachable) {
+      this->SetStoreReachable(StoreCommit{});  // The peer reaches it.
     }
     this->FollowLists(false);
     this->ValidateAfter(this->settings.syncCheckInterval);
@@ -324,54 +325,56 @@
   check.key = this->settings.keys.configuration;
   check.expected = this->view.ConfigStoreRevision();
   const StoreRevision checked = check.expected;
-  const Instant began = this->clock.Now();
-  this->store.Commit(
-      std::move(check), [this, checked, began](Result<StoreCommit> aResult) {
-        this->isValidating = false;
-        this->OnValidationResult(checked, began, std::move(aResult));
-      });
+  const Instant startedAt = this->clock.Now();
+  this->store.Commit(std::move(check), [this, checked, startedAt](
+                                           Result<StoreCommit> aResult) {
+    this->isValidating = false;
+    this->OnValidationResult(checked, startedAt, std::move(aResult));
+  });
 }
 
-void StoreFollower::OnValidationResult(StoreRevision aChecked, Instant aBegan,
+void StoreFollower::OnValidationResult(StoreRevision aChecked,
+                                       Instant aStartedAt,
                                        Result<StoreCommit> aResult) {
   if (!aResult && aResult.error().kind == ErrorKind::StoreRestored) {
     this->ValidateAfter(Micros{0});
     return;
   }
-  this->SetReached(aResult);
-  // Lists are read only from a store that has just answered: begun beside the
-  // proof, 406 reads were in vain in an outage of eight seconds (295 daemons).
-  this->FollowLists(aResult && !this->IsSyncingFromPeer() && this->MayAsk() &&
-                    !this->WaitsForPeers());
-  Micros pause =
-      aResult ? this->settings.validationInterval : this->PauseWhileAway();
+  this->SetStoreReachable(aResult);
+  // Lists are read only from a store that has just responded. When the reads
+  // started together with the validation, 406 of them failed in an outage of
+  // eight seconds (295 daemons).
+  this->FollowLists(aResult && !this->IsSyncingFromPeer() &&
+                    this->MayQueryStore() && !this->WaitsForPeers());
+  Micros delay =
+      aResult ? this->settings.validationInterval : this->UnreachableInterval();
   if (aResult && aResult->done) {
-    this->view.OnValidated(aChecked, aBegan);
-    this->OnStoreState({aResult->revision, aBegan});
+    this->view.OnValidated(aChecked, aStartedAt);
+    this->OnStoreState({aResult->revision, aStartedAt});
   } else if (aResult && aResult->present) {
     this->view.OnConfiguration(*aResult->present);
-    this->view.OnValidated(aResult->present->revision, aBegan);
-    this->told.Add(aResult->present->revision);
+    this->view.OnValidated(aResult->present->revision, aStartedAt);
+    this->observed.Add(aResult->present->revision);
     if (this->view.ConfigStoreRevision() > aChecked) {
-      pause = Micros{0};  // This proof has not told the store's revision.
+      delay = Micros{0};  // This response does not hold the store's revision.
     }
   }
   if (!this->view.Table()) {
-    pause = this->settings.initialBackoff;
+    delay = this->settings.initialBackoff;
   }
-  const Micros taken = this->clock.Now() - aBegan;
+  const Micros elapsed = this->clock.Now() - aStartedAt;
   this->ValidateAfter(std::max<Micros>(
-      pause - taken, aResult ? Micros{0} : this->settings.initialBackoff));
+      delay - elapsed, aResult ? Micros{0} : this->settings.initialBackoff));
 }
 
 void StoreFollower::OnRestored() {
-  this->told = ObservedChanges{};
+  this->observed = ObservedChanges{};
   this->lastState.reset();
   if (this->HasSyncSource()) {
-    // One daemon of the domain reads for all; what it tells is of the new era.
+    // One daemon of the domain reads for all; its updates are of the new era.
     this->awaitingPeersSince = this->clock.Now();
   }
-  for (PrefixFollower* follower : {&this->upstreams, &this->own}) {
+  for (PrefixFollower* follower : {&this->upstreams, &this->daemons}) {
     if (!follower->IsPaused()) {
       follower->Restart();
     }
@@ -381,46 +384,48 @@
 
 void StoreFollower::OnStoreState(StoreState aState) {
   this->lastState = aState;
-  this->SkipTold();
+  this->SkipObserved();
   this->ValidateLists();
   this->upstreams.CatchUp(aState.revision);
-  this->own.CatchUp(aState.revision);
+  this->daemons.CatchUp(aState.revision);
 }
 
-void StoreFollower::NoteTold(const StoreEvents& aEvents) {
+void StoreFollower::RecordObserved(const StoreEvents& aEvents) {
   for (const StoreEvent& event : aEvents.events) {
-    this->told.Add(event.item.revision);
+    this->observed.Add(event.item.revision);
   }
 }
 
-void StoreFollower::SkipTold() {
-  // Saves the question for what is new under the other prefix after each
-  // change, 120 of 980 calls of the store on a day with many changes.
-  for (PrefixFollower* follower : {&this->upstreams, &this->own}) {
-    follower->SkipTo(this->told.LastContiguous(follower->At()));
+void StoreFollower::SkipObserved() {
+  // Saves a catch-up call under the other prefix after each change: 120 of 980
+  // calls to the store on a day with many changes.
+  for (PrefixFollower* follower : {&this->upstreams, &this->daemons}) {
+    follower->SkipTo(this->observed.LastContiguous(follower->At()));
   }
-  this->told.DiscardUpTo(std::min(this->upstreams.At(), this->own.At()));
+  this->observed.DiscardUpTo(
+      std::min(this->upstreams.At(), this->daemons.At()));
 }
 
 void StoreFollower::ValidateLists() {
-  // That the store answers does not show that the watches do: on a connection
-  // that had fallen silent one told nothing for 6.7 s, and lists that were
-  // called fresh all along held four upstreams that were gone.
-  if (this->lastState && this->upstreams.Knows(this->lastState->revision) &&
-      this->own.Knows(this->lastState->revision)) {
+  // A store that responds does not show that the watches work. On a connection
+  // that had stalled, one delivered nothing for 6.7 s, and lists that were
+  // reported as fresh all along held four upstreams that were gone.
+  if (this->lastState &&
+      this->upstreams.IsCompleteTo(this->lastState->revision) &&
+      this->daemons.IsCompleteTo(this->lastState->revision)) {
     this->view.OnListsValidated(this->lastState->at);
   }
 }
 
-Micros StoreFollower::PauseWhileAway() const {
-  // Daemons after the first ask the less often the more ask before them.
+Micros StoreFollower::UnreachableInterval() const {
+  // Lower-ranked daemons call less often, the more daemons rank higher.
   const auto share = static_cast<std::int64_t>(1 + this->Rank());
   return std::min(share * this->settings.validationInterval,
                   this->settings.maxValidationInterval);
 }
 
-void StoreFollower::ValidateAfter(Micros aPause) {
-  this->validationTimer.expires_after(aPause);
+void StoreFollower::ValidateAfter(Micros aDelay) {
+  this->validationTimer.expires_after(aDelay);
   this->validationTimer.async_wait([this](const asio::error_code& aError) {
     if (!aError) {
       this->Validate();
@@ -428,14 +433,15 @@
   });
 }
 
-void StoreFollower::SetReached(const Result<StoreCommit>& aAnswer) {
-  if (aAnswer && !this->isReached && this->HasSyncSource()) {
-    // A domain that was cut off is back: one of its daemons reads for all.
+void StoreFollower::SetStoreReachable(const Result<StoreCommit>& aResult) {
+  if (aResult && !this->isStoreReachable && this->HasSyncSource()) {
+    // A partitioned domain has reached the store again: one of its daemons
+    // reads for all.
     this->awaitingPeersSince = this->clock.Now();
   }
-  this->isReached = aAnswer.has_value();
-  this->view.OnStoreReachable(this->isReached,
-                              aAnswer ? "" : aAnswer.error().message);
+  this->isStoreReachable = aResult.has_value();
+  this->view.OnStoreReachable(this->isStoreReachable,
+                              aResult ? "" : aResult.error().message);
 }
 
 }  // namespace zincstep
--- a/Zincstep/Cluster/StoreFollower.h
+++ b/Zincstep/Cluster/StoreFollower.h
@@ -10,24 +10,25 @@
 
 namespace zincstep {
 
-/// Keys of the store that hold what daemons follow.
+/// Store keys that daemons follow.
 struct ClusterKeys {
-  /// The configuration.
+  /// Key of the configuration.
   std::string configuration;
-  /// Prefix of upstreams' entries; what follows is the id.
+  /// Prefix of upstreams' entries, followed by the upstream's id.
   std::string upstreams;
-  /// Prefix under which daemons keep entries of their own.
+  /// Prefix of daemons' entries.
   std::string daemons;
-  /// What the entries of this failure domain's daemons begin with.
+  /// Prefix of the entries of daemons in this failure domain.
   std::string domainDaemons;
 };
 
-/// How long the follower of a prefix waits for what.
+/// Timing of a prefix follower.
 struct PrefixFollowerTiming {
-  /// Longest wait of one watch.
-  Micros watchWait = 6s;
-  /// Pause before the next watch after one that told of changes.
-  Micros gather = 200ms;
+  /// Maximum wait of one watch call.
+  Micros watchTimeout = 6s;
+  /// Delay before the next watch after one that returned changes, to gather
+  /// changes into fewer calls.
+  Micros batchDelay = 200ms;
   Micros initialBackoff = 150ms;
   Micros maxBackoff = 1s;
 };
@@ -35,158 +36,164 @@
 /// Settings of a store follower.
 struct StoreFollowerSettings {
   ClusterKeys keys;
-  /// Time between proofs that the configuration is the newest one: well
-  /// under the time within which one must be in force everywhere.
+  /// Interval between validations of the configuration; well under the time
+  /// within which a new one must be active everywhere.
   Micros validationInterval = 700ms;
-  /// While a peer proves for this daemon and tells it the lists, it looks
-  /// this often whether that goes on, and asks the store by itself once
-  /// either is older than `maxSyncStaleness`: one proof and its way (up to 1.2
-  /// s with the pauses between questions) are overdue then.
+  /// While a peer validates for this daemon and sends it the lists, their
+  /// staleness is checked at this interval. The daemon queries the store itself
+  /// once either is older than `maxSyncStaleness`: one validation and its
+  /// delivery, up to 1.2 s with the query intervals, are then overdue.
   Micros syncCheckInterval = 150ms;
   Micros maxSyncStaleness = 1350ms;
-  /// A daemon that may ask the store as it starts, or that reaches it again,
-  /// leaves the lists to its teller. Where that has not told them by then it
-  /// reads them itself: two questions to the teller and the teller's own
-  /// reading take less.
+  /// A daemon that may query the store when it starts or reaches the store
+  /// again leaves the lists to its sync source. If it has not received them
+  /// after this time, it reads them itself. Two queries to the sync source and
+  /// the source's own reads take less.
   Micros syncSourceTimeout = 1200ms;
-  /// The same where peers do answer, but not yet the one to rely on.
+  /// The same timeout while peers already respond but no sync source is current
+  /// yet.
   Micros maxStartWait = 3s;
-  /// So much later than the one before it does a daemon read the lists by
-  /// itself.
+  /// Added to the timeout for each daemon of the domain that ranks higher.
   Micros syncTimeoutStep = 20ms;
-  /// Daemons of a failure domain that read the upstreams' list however long it
-  /// is when they start; the others leave a long one to them. When 300 that
-  /// started together each read the 1.4 MB of 3,000 upstreams, all reads ran
-  /// out of time, again and again, and nothing was served for 5 to 30 s.
+  /// Number of daemons per failure domain that read the upstreams' list at
+  /// start however long it is; the others leave a long list to them. When 300
+  /// daemons that started together each read the 1.4 MB of 3,000 upstreams, all
+  /// reads timed out repeatedly and no requests were served for 5 to 30 s.
   std::size_t listReaders = 3;
-  /// Upstreams' entries: each wait is a call; changes often come in series.
-  /// That an answer is lost shows in the next proof, not at the end of the
-  /// wait.
-  PrefixFollowerTiming upstreamPauses{6s, 200ms, 150ms, 1s};
-  /// The daemons' own entries change seldom, and late news of them costs
+  /// For the upstreams' entries. Each wait is a call, and changes often come in
+  /// series. A lost response shows at the next validation, not only at the end
+  /// of the wait.
+  PrefixFollowerTiming upstreamTiming{6s, 200ms, 150ms, 1s};
+  /// For the daemons' entries, which change seldom and where late changes cost
   /// little.
-  PrefixFollowerTiming ownPauses{15s, 1s, 150ms, 1s};
+  PrefixFollowerTiming daemonTiming{15s, 1s, 150ms, 1s};
   Micros initialBackoff = 150ms;
-  /// Longest pause between questions of one daemon while the store does not
-  /// answer.
+  /// Maximum interval between calls of one daemon while the store does not
+  /// respond.
   Micros maxValidationInterval = 5600ms;
-  /// Between reads of the domain's daemons while none is known.
+  /// Interval between reads of the domain's daemons while none is known.
   Micros bootstrapInterval = 500ms;
 };
 
-/// Follows all items under one prefix: reads them, then watches.
+/// Follows all items under one prefix: reads them once, then watches.
 ///
-/// The connection of a watch may fall silent for good. Whoever hears in another
-/// way that the store has changed calls `CatchUp`.
+/// The connection of a watch may stall for good. Callers that learn in another
+/// way that the store has changed call `CatchUp`.
 class PrefixFollower {
  public:
   using OnRange = std::function<void(StoreRange)>;
   using OnEvents = std::function<void(StoreEvents)>;
-  /// More of the store's changes are known than before.
+  /// Called after each step that may have made more of the store's changes
+  /// known.
   using OnCaughtUp = std::function<void()>;
 
   PrefixFollower(asio::io_context& aLoop, AsyncStore& aStore,
                  const Clock& aClock, std::string aPrefix,
-                 PrefixFollowerTiming aPauses, OnRange aOnRange,
+                 PrefixFollowerTiming aTiming, OnRange aOnRange,
                  OnEvents aOnEvents, OnCaughtUp aOnCaughtUp);
 
-  /// Reads all anew; answers to earlier calls are passed over.
+  /// Reads all items again; responses to earlier calls are ignored.
   void Restart();
   /// Makes no calls until the next restart.
   void Pause();
   bool IsPaused() const { return this->isPaused; }
-  /// The store has reached a revision: where the watch has not told up to
-  /// there, asks on a connection of its own for what is missing. A watch that
-  /// should have told it is replaced.
+  /// Reports that the store has reached a revision. If the watch has not
+  /// delivered changes up to it, requests them on a separate connection and
+  /// replaces a watch that should have delivered them.
   void CatchUp(StoreRevision aRevision);
-  /// No change under the prefix lies between what is known and `aRevision`.
+  /// Advances to a revision up to which no change under the prefix is missing.
   void SkipTo(StoreRevision aRevision) {
     this->at = std::max(this->at, aRevision);
   }
-  /// All changes up to this revision of the store are known.
+  /// Store revision up to which all changes are known.
   StoreRevision At() const { return this->at; }
-  /// Whether all changes up to a revision of the store are known.
-  bool Knows(StoreRevision aRevision) const {
+  /// Whether all changes up to a store revision are known.
+  bool IsCompleteTo(StoreRevision aRevision) const {
     return this->isWatching && this->at >= aRevision;
   }
 
  private:
-  /// What earlier calls answer is passed over from now on.
+  /// Starts a new round; responses to calls of earlier rounds are ignored.
   void BeginRound();
   void Read(std::uint64_t aRound);
   void Watch(std::uint64_t aRound);
-  void OnWatched(std::uint64_t aRound, Instant aBegan,
-                 Result<StoreEvents> aEvents);
-  /// What was asked for by `CatchUp` has come.
-  void OnMissed(StoreRevision aRevision, Result<StoreEvents> aEvents);
-  void Take(StoreEvents aEvents);
+  void OnWatchResult(std::uint64_t aRound, Instant aStartedAt,
+                     Result<StoreEvents> aEvents);
+  /// Handles the response to a call of `CatchUp`.
+  void OnCatchUpEvents(StoreRevision aRevision, Result<StoreEvents> aEvents);
+  void ApplyEvents(StoreEvents aEvents);
   void RetryLater(std::uint64_t aRound);
   void WatchLater(std::uint64_t aRound);
 
   AsyncStore& store;
   const Clock& clock;
   std::string prefix;
-  PrefixFollowerTiming pauses;
+  PrefixFollowerTiming timing;
   OnRange onRange;
   OnEvents onEvents;
   OnCaughtUp onCaughtUp;
   asio::steady_timer timer;
-  /// Rises with each restart; tells late answers from wanted ones.
+  /// Rises with each restart; identifies late responses.
   std::uint64_t round = 0;
   StoreRevision at;
-  Micros retry;
+  Micros backoff;
   bool isPaused = false;
-  /// All is read, and a watch tells of changes, or soon will.
+  /// All items are read, and a watch is running or about to start.
   bool isWatching = false;
-  /// A call of a watch is waiting for its answer.
-  bool isWaiting = false;
+  /// A watch call awaits its response.
+  bool isWatchPending = false;
   bool isCatchingUp = false;
-  /// What was asked for by `CatchUp` has told changes that the watch has not.
-  bool hasMissed = false;
+  /// `CatchUp` returned changes that the watch did not deliver.
+  bool hasMissedChanges = false;
 };
 
-/// Keeps a view up to the store: watches, and proofs of freshness.
+/// Keeps a cluster view current: follows the lists and validates their
+/// freshness and that of the configuration.
 class StoreFollower {
  public:
   StoreFollower(asio::io_context& aLoop, AsyncStore& aStore,
                 StoreFollowerSettings aSettings, ClusterView& aView,
                 const Clock& aClock);
 
-  /// Begins; `aPeersFirst`: there may be peers that know the lists already, or
-  /// read them for this daemon. The daemons of its failure domain are then read
-  /// as they were lately, and a list of upstreams likewise where it is short.
+  /// Starts following. With `aPeersFirst` there may be peers that know the
+  /// lists or read them for this daemon: the domain's daemons are then read by
+  /// a stale read, and so are the upstreams if the list is short.
   void Start(bool aPeersFirst);
 
-  /// Says whether a peer asks the store for this daemon too.
+  /// Sets the function that returns whether a peer queries the store for this
+  /// daemon too.
   void SetHasFreshSyncSource(std::function<bool()> aHasFreshSyncSource) {
     this->hasFreshSyncSource = std::move(aHasFreshSyncSource);
   }
-  /// Says whether this daemon is to ask the store where nobody does so for it.
+  /// Sets the function that returns whether this daemon is to query the store
+  /// if no peer does so for it.
   void SetMayQueryStore(std::function<bool()> aMayQueryStore) {
-    this->mayAsk = std::move(aMayQueryStore);
+    this->mayQueryStore = std::move(aMayQueryStore);
   }
-  /// Says whether a peer would tell this daemon once the store answers.
+  /// Sets the function that returns whether some peer would send updates once
+  /// the store responds.
   void SetHasSyncSource(std::function<bool()> aHasSyncSource) {
     this->hasSyncSource = std::move(aHasSyncSource);
   }
-  /// Says how many daemons of this failure domain come before this one.
+  /// Sets the function that returns how many daemons of this failure domain
+  /// rank higher.
   void SetRank(std::function<std::size_t()> aRank) {
     this->rank = std::move(aRank);
   }
-  /// Told of the failure domain's daemons as they were lately; says whether any
-  /// are known now, by whatever way.
+  /// Called with the domain's daemons from a stale read; returns whether any
+  /// are known now, from whatever source.
   using OnBootstrapDaemons = std::function<bool(const std::vector<StoreItem>&)>;
   void SetOnBootstrapDaemons(OnBootstrapDaemons aOnBootstrap) {
     this->onBootstrap = std::move(aOnBootstrap);
   }
-  /// Whether this daemon asks the store itself.
-  bool IsDirect() const { return !this->own.IsPaused(); }
-  /// The store has come back from a copy: all that is read or watched begins
-  /// anew, and what was asked for before is void.
+  /// Whether this daemon reads and watches the store itself.
+  bool IsDirect() const { return !this->daemons.IsPaused(); }
+  /// The store was restored from a backup: reads and watches start again, and
+  /// pending calls are void.
   void OnRestored();
 
  private:
-  /// The revision that the store had at some time.
+  /// A revision of the store and the time at which it was current.
   struct StoreState {
     StoreRevision revision;
     Instant at;
@@ -195,36 +202,39 @@
   /// Reads the domain's daemons until any are known.
   void ReadBootstrapDaemons();
   void OnBootstrap(const std::vector<StoreItem>& aDaemons);
-  /// Reads the upstreams' list as it was lately, as a base for what peers tell;
-  /// only the domain's first daemons read a long one.
+  /// Reads the upstreams with a stale read as a base for peers' updates. Only
+  /// the domain's highest-ranked daemons read more than one page.
   void ReadStaleUpstreams();
   std::size_t Rank() const { return this->rank ? this->rank() : 0; }
-  bool MayAsk() const { return !this->mayAsk || this->mayAsk(); }
+  bool MayQueryStore() const {
+    return !this->mayQueryStore || this->mayQueryStore();
+  }
   bool HasSyncSource() const {
     return this->hasSyncSource && this->hasSyncSource();
   }
   void Validate();
   bool IsSyncingFromPeer() const;
-  /// Whether what it knows is new enough to leave the store to a peer.
+  /// Whether the known state is fresh enough to leave the store to a peer.
   bool IsFresh() const;
-  /// Whether this daemon has just started, or reached the store again, and
-  /// waits for its peers' answers.
+  /// Whether this daemon has just started or reached the store again and still
+  /// waits for its peers' responses.
   bool WaitsForPeers() const;
   /// Follows the lists, or leaves them to a peer.
-  void FollowLists(bool aFollows);
-  void ValidateAfter(Micros aPause);
-  /// Pause between calls while the store does not answer.
-  Micros PauseWhileAway() const;
-  void OnValidationResult(StoreRevision aChecked, Instant aBegan,
+  void FollowLists(bool aShouldFollow);
+  void ValidateAfter(Micros aDelay);
+  /// Interval between calls while the store does not respond.
+  Micros UnreachableInterval() const;
+  void OnValidationResult(StoreRevision aChecked, Instant aStartedAt,
                           Result<StoreCommit> aResult);
   void OnStoreState(StoreState aState);
-  void NoteTold(const StoreEvents& aEvents);
-  /// Changes under one prefix are none under the other.
-  void SkipTold();
-  /// Takes the lists as proven if they hold all that the store held at the
-  /// last proof.
+  void RecordObserved(const StoreEvents& aEvents);
+  /// Skips revisions observed under the other prefix or of the configuration: a
+  /// change under one is none under the other.
+  void SkipObserved();
+  /// Marks the lists as validated if they are complete up to the store's
+  /// revision at the last validation.
   void ValidateLists();
-  void SetReached(const Result<StoreCommit>& aAnswer);
+  void SetStoreReachable(const Result<StoreCommit>& aResult);
 
   StoreFollowerSettings settings;
   AsyncStore& store;
@@ -233,19 +243,19 @@
   asio::steady_timer validationTimer;
   asio::steady_timer bootstrapTimer;
   std::function<bool()> hasFreshSyncSource;
-  std::function<bool()> mayAsk;
+  std::function<bool()> mayQueryStore;
   std::function<bool()> hasSyncSource;
   std::function<std::size_t()> rank;
   OnBootstrapDaemons onBootstrap;
   PrefixFollower upstreams;
-  PrefixFollower own;
-  /// Of both prefixes, and of the configuration.
-  ObservedChanges told;
-  /// What the last proof told of the store.
+  PrefixFollower daemons;
+  /// Changes of both prefixes and of the configuration.
+  ObservedChanges observed;
+  /// State of the store at the last validation.
   std::optional<StoreState> lastState;
-  bool isReached = true;
+  bool isStoreReachable = true;
   bool isValidating = false;
-  /// When it began to wait for the peers' lists; none: it does not.
+  /// When the wait for the peers' lists began; none if not waiting.
   std::optional<Instant> awaitingPeersSince;
 };
 
--- a/Zincstep/Cluster/StoreRevision.h
+++ b/Zincstep/Cluster/StoreRevision.h
@@ -7,13 +7,13 @@
 
 /// A state of the platform's store.
 ///
-/// The store numbers its changes. Where it has come back from a copy it goes on
-/// counting from an older number, and the same numbers stand for other changes:
-/// only together with the era do they tell which state is the newer one.
+/// The store numbers its changes. After a restore from a backup it continues
+/// from an older number, and the same numbers stand for other changes:
+/// revisions can only be compared together with the era.
 struct StoreRevision {
   /// 0: none.
   std::uint64_t number = 0;
-  /// Rises each time the store comes back from a copy.
+  /// Rises each time the store is restored from a backup.
   std::uint64_t era = 0;
 
   bool IsNone() const { return this->number == 0; }
