--- a/UnitTests/ConfigurationStoreTest.cpp
+++ b/UnitTests/ConfigurationStoreTest.cpp
@@ -15,11 +15,11 @@
   CPPUNIT_TEST_SUITE(ConfigurationStoreTest);
   CPPUNIT_TEST(Apply_FirstFile_IsRevisionOne);
   CPPUNIT_TEST(Apply_SameFileAgain_WritesNothing);
-  CPPUNIT_TEST(Apply_OldBase_IsAConflict);
-  CPPUNIT_TEST(Apply_AnswerOfRootLost_IsFoundInTheStore);
-  CPPUNIT_TEST(Apply_AnswerLostAndOvertaken_IsStillFound);
-  CPPUNIT_TEST(Apply_RequestLost_IsNotTakenForAccepted);
-  CPPUNIT_TEST(Collect_PieceTakenUpAgain_IsSpared);
+  CPPUNIT_TEST(Apply_OldBase_FailsWithConflict);
+  CPPUNIT_TEST(Apply_RootResponseLost_IsResolvedFromTheStore);
+  CPPUNIT_TEST(Apply_ResponseLostAndReplaced_IsResolvedFromTheStore);
+  CPPUNIT_TEST(Apply_RequestLost_FailsAsUnavailable);
+  CPPUNIT_TEST(Collect_PieceReused_IsKept);
   CPPUNIT_TEST(Collect_UnusedTwice_IsRemoved);
   CPPUNIT_TEST_SUITE_END();
 
@@ -35,7 +35,7 @@
     return this->configurations.Apply(aFile, this->Load(), aWriter,
                                       [] { return std::int64_t{0}; });
   }
-  /// Faults that hit the call with this number, from 1, and no other.
+  /// Injects a fault into the call with this number, from 1, only.
   void FailCall(int aNumber, StoreFault aFault) {
     auto count = std::make_shared<int>(0);
     this->store.SetFaults([count, aNumber, aFault] {
@@ -59,7 +59,7 @@
     CPPUNIT_ASSERT_EQUAL(before, this->Load()->storeRevision);
   }
 
-  void Apply_OldBase_IsAConflict() {
+  void Apply_OldBase_FailsWithConflict() {
     (void)this->Apply(FileWith("a"), "w1");
     const auto base = this->Load();
     (void)this->Apply(FileWith("b"), "w2");
@@ -70,11 +70,11 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, this->Load()->root.revision);
   }
 
-  void Apply_AnswerOfRootLost_IsFoundInTheStore() {
+  void Apply_RootResponseLost_IsResolvedFromTheStore() {
     (void)this->Apply(FileWith("a"), "w1");
     const auto base = this->Load();
     // One piece is written, then the root.
-    this->FailCall(2, StoreFault::AnswerLost);
+    this->FailCall(2, StoreFault::ResponseLost);
     const auto outcome = this->configurations.Apply(
         FileWith("b"), base, "w2", [] { return std::int64_t{0}; });
     CPPUNIT_ASSERT(outcome.has_value());
@@ -82,7 +82,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, outcome->revision);
   }
 
-  void Apply_AnswerLostAndOvertaken_IsStillFound() {
+  void Apply_ResponseLostAndReplaced_IsResolvedFromTheStore() {
     (void)this->Apply(FileWith("a"), "w1");
     const auto base = this->Load();
     ConfigurationStore other(this->store);
@@ -90,11 +90,11 @@
     this->store.SetFaults([&] {
       calls += 1;
       if (calls == 3) {
-        // Before w2 looks into the store, w3 replaces its file.
+        // Before w2 reads the store, w3 replaces its file.
         (void)other.Apply(FileWith("c"), this->Load(), "w3",
                           [] { return std::int64_t{0}; });
       }
-      return calls == 2 ? StoreFault::AnswerLost : StoreFault::None;
+      return calls == 2 ? StoreFault::ResponseLost : StoreFault::None;
     });
     const auto outcome = this->configurations.Apply(
         FileWith("b"), base, "w2", [] { return std::int64_t{0}; });
@@ -103,7 +103,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, this->Load()->root.revision);
   }
 
-  void Apply_RequestLost_IsNotTakenForAccepted() {
+  void Apply_RequestLost_FailsAsUnavailable() {
     (void)this->Apply(FileWith("a"), "w1");
     const auto base = this->Load();
     this->FailCall(2, StoreFault::Lost);
@@ -114,12 +114,12 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, this->Load()->root.revision);
   }
 
-  void Collect_PieceTakenUpAgain_IsSpared() {
+  void Collect_PieceReused_IsKept() {
     (void)this->Apply(FileWith("a"), "w1");
     (void)this->Apply(FileWith("b"), "w2");
     const auto seen = this->configurations.CollectUnused({});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, seen->size());
-    // A writer goes back to the first file and is held up before its root.
+    // A writer reuses the first file and is delayed before it writes the root.
     this->store.BeforeNextSwap(
         [&] { (void)this->configurations.CollectUnused(*seen); });
     const auto outcome = this->Apply(FileWith("a"), "w3");
--- a/UnitTests/FlakyStore.h
+++ b/UnitTests/FlakyStore.h
@@ -6,25 +6,26 @@
 
 namespace zincstep {
 
-/// What a flaky store does with one call.
+/// How a flaky store fails a call.
 enum class StoreFault {
   None,
-  /// Nothing takes effect, and the caller is told so by no answer.
+  /// The request is lost; nothing takes effect.
   Lost,
-  /// It takes effect, and the answer is lost.
-  AnswerLost,
+  /// The call takes effect, but its response is lost.
+  ResponseLost,
 };
 
-/// A key-value service in memory whose faults a test chooses, call by call.
+/// A key-value service in memory with a fault chosen by the test for each call.
 class FlakyStore final : public KeyValueStore {
  public:
-  /// Asked before each call for its fault.
+  /// Called before each call to choose its fault.
   using FaultSource = std::function<StoreFault()>;
 
   explicit FlakyStore(standins::MemoryStore& aStore) : store(aStore) {}
 
   void SetFaults(FaultSource aSource) { this->source = std::move(aSource); }
-  /// Run once, right before the next swap: what another writer does.
+  /// Runs `aStep` once, right before the next swap of the root, as another
+  /// writer would.
   void BeforeNextSwap(std::function<void()> aStep) {
     this->beforeSwap = std::move(aStep);
   }
@@ -62,7 +63,7 @@
       return tl::unexpected(renewed.error());
     }
     if (!*renewed) {
-      return Fail(ErrorKind::LeaseLost, "lapsed");
+      return Fail(ErrorKind::LeaseLost, "lease expired");
     }
     return {};
   }
@@ -81,11 +82,11 @@
   Result<T> Run(Step aStep) {
     const StoreFault fault = this->source ? this->source() : StoreFault::None;
     if (fault == StoreFault::Lost) {
-      return Fail(ErrorKind::PlatformUnavailable, "lost");
+      return Fail(ErrorKind::PlatformUnavailable, "request lost");
     }
     T result = aStep();
-    if (fault == StoreFault::AnswerLost) {
-      return Fail(ErrorKind::PlatformUnavailable, "answer lost");
+    if (fault == StoreFault::ResponseLost) {
+      return Fail(ErrorKind::PlatformUnavailable, "response lost");
     }
     return result;
   }
--- a/Zincstep/Control/ConfigurationStore.cpp
+++ b/Zincstep/Control/ConfigurationStore.cpp
@@ -10,10 +10,11 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t kKeptWrites = 64;
-constexpr int kResolveTries = 5;
-/// Missing pieces up to which each is read alone; more come in one call.
-constexpr std::size_t kMostSingleReads = 4;
+constexpr std::size_t kMaxHistory = 64;
+constexpr int kMaxResolveAttempts = 5;
+/// Up to this number, missing pieces are read individually; more are read by
+/// one list call.
+constexpr std::size_t kMaxSingleReads = 4;
 
 }  // namespace
 
@@ -48,9 +49,9 @@
           {write.at(0).get<std::uint64_t>(), write.at(1).get<std::string>()});
     }
     return root;
-  } catch (const Json::exception& fault) {
+  } catch (const Json::exception& error) {
     return Fail(ErrorKind::Internal,
-                std::string("the root cannot be read: ") + fault.what());
+                std::string("invalid configuration root: ") + error.what());
   }
 }
 
@@ -88,7 +89,7 @@
       missing.insert(name.digest);
     }
   }
-  const Result<void> read = missing.size() > kMostSingleReads
+  const Result<void> read = missing.size() > kMaxSingleReads
                                 ? this->ReadAllPieces(missing, stored.pieces)
                                 : this->ReadPieces(missing, stored.pieces);
   if (!read) {
@@ -139,13 +140,13 @@
   const std::string key = kPiecePrefix + aDigest;
   std::uint64_t expected = 0;
   Error last{ErrorKind::PlatformUnavailable, "", {}};
-  for (int i = 0; i < kResolveTries; ++i) {
+  for (int i = 0; i < kMaxResolveAttempts; ++i) {
     const auto written = this->store.CompareAndSwap(key, expected, aText, 0);
     if (written && *written) {
       return {};
     }
-    // There already, or the answer was lost: writing it once more changes
-    // its revision, which keeps it from being collected as unused.
+    // The piece exists or the response was lost. Writing it again changes its
+    // revision, which keeps it from being removed as unused.
     const auto present = this->store.Get(key);
     if (!present) {
       last = present.error();
@@ -174,7 +175,7 @@
 Result<ApplyOutcome> ConfigurationStore::Resolve(const std::string& aWriter,
                                                  std::uint64_t aRevision) {
   Error last{ErrorKind::PlatformUnavailable, "", {}};
-  for (int i = 0; i < kResolveTries; ++i) {
+  for (int i = 0; i < kMaxResolveAttempts; ++i) {
     const auto value = this->store.Get(kRootKey);
     if (!value) {
       last = value.error();
@@ -190,13 +191,13 @@
         return ApplyOutcome{write.revision, false, true};
       }
     }
-    // A write that is still on its way fails its swap once the root has
-    // moved past the base; until then it may yet take effect.
+    // A write still in flight fails its swap once the root has moved past the
+    // base; until then it may take effect.
     if (root->revision >= aRevision) {
       return Fail(ErrorKind::ConfigConflict, "another file was accepted");
     }
     last = {ErrorKind::PlatformUnavailable,
-            "the answer was lost and the write has not shown up; apply again",
+            "no response, and the write has not taken effect yet; apply again",
             {}};
   }
   return tl::unexpected(last);
@@ -221,7 +222,7 @@
     root.history = aBase->root.history;
   }
   root.history.push_back({root.revision, aWriter});
-  if (root.history.size() > kKeptWrites) {
+  if (root.history.size() > kMaxHistory) {
     root.history.erase(root.history.begin());
   }
   const std::uint64_t expected = aBase ? aBase->storeRevision : 0;
@@ -231,20 +232,20 @@
     return this->Resolve(aWriter, root.revision);
   }
   if (!*swapped) {
-    // A retry below us may have won with an answer that was lost.
+    // A retry in a lower layer may have succeeded after a lost response.
     return this->Resolve(aWriter, root.revision);
   }
   return ApplyOutcome{root.revision, false, false};
 }
 
 Result<std::vector<KeyedValue>> ConfigurationStore::CollectUnused(
-    const std::vector<KeyedValue>& aSeenBefore) {
+    const std::vector<KeyedValue>& aUnusedBefore) {
   const auto stored = this->store.List(kPiecePrefix);
   if (!stored) {
     return tl::unexpected(stored.error());
   }
-  // The root is read after the list: a piece that it has come to name in
-  // between is spared.
+  // The root is read after the list, so that a piece referenced in between is
+  // not removed.
   const auto value = this->store.Get(kRootKey);
   if (!value) {
     return tl::unexpected(value.error());
@@ -263,12 +264,13 @@
     if (used.contains(piece.key)) {
       continue;
     }
-    const bool seenBefore = std::any_of(
-        aSeenBefore.begin(), aSeenBefore.end(), [&](const KeyedValue& aSeen) {
-          return aSeen.key == piece.key &&
-                 aSeen.stored.revision == piece.stored.revision;
-        });
-    if (!seenBefore) {
+    const bool wasUnusedBefore =
+        std::any_of(aUnusedBefore.begin(), aUnusedBefore.end(),
+                    [&](const KeyedValue& aEarlier) {
+                      return aEarlier.key == piece.key &&
+                             aEarlier.stored.revision == piece.stored.revision;
+                    });
+    if (!wasUnusedBefore) {
       unused.push_back({piece.key, {"", piece.stored.revision}});
       continue;
     }
--- a/Zincstep/Control/ConfigurationStore.h
+++ b/Zincstep/Control/ConfigurationStore.h
@@ -12,90 +12,92 @@
 
 namespace zincstep {
 
-/// One accepted write of the root, kept so that a writer can find its own.
+/// An accepted write of the root, kept so that a writer can find its own.
 struct AcceptedWrite {
   std::uint64_t revision = 0;
   std::string writer;
 };
 
-/// The root that one compare-and-swap replaces: the accepted configuration.
+/// The root record, replaced by one compare-and-swap: the accepted
+/// configuration.
 struct ConfigurationRoot {
-  /// Counts accepted files; it rises by one each time.
+  /// Number of accepted files; rises by one each time.
   std::uint64_t revision = 0;
   std::vector<PieceName> pieces;
-  /// The last writes, newest last.
+  /// The latest writes, newest last.
   std::vector<AcceptedWrite> history;
-  /// Microseconds since 1970 at which the writer wrote it.
+  /// Microseconds since 1970 at which the root was written.
   std::int64_t acceptedAt = 0;
 };
 
-/// The root as text, and back.
+/// Converts a root to text and back.
 std::string WriteRoot(const ConfigurationRoot& aRoot);
 Result<ConfigurationRoot> ReadRoot(const std::string& aText);
 
-/// A whole accepted configuration, ready to be passed on or parsed.
+/// A complete accepted configuration, ready to be forwarded or parsed.
 struct StoredConfiguration {
   ConfigurationRoot root;
   ConfigurationPieces pieces;
-  /// Revision of the root's key in the store, for the next swap.
+  /// Revision of the root's key in the store, expected by the next swap.
   std::uint64_t storeRevision = 0;
 };
 
-/// Gives microseconds since 1970.
+/// Returns microseconds since 1970.
 using WallClock = std::function<std::int64_t()>;
 
-/// How an application ended.
+/// Result of an application.
 struct ApplyOutcome {
   std::uint64_t revision = 0;
-  /// The file was in force already, nothing was written.
+  /// The file was already active; nothing was written.
   bool unchanged = false;
-  /// The answer was lost, and the store showed that the write had won.
+  /// The response was lost, but the store shows that the write took effect.
   bool resolvedFromStore = false;
 };
 
 /// Key of the root.
 inline constexpr const char* kRootKey = "config/root";
-/// Keys of pieces begin so.
+/// Prefix of the keys of pieces.
 inline constexpr const char* kPiecePrefix = "config/piece/";
 
 /// Reads and replaces the configuration in the key-value service.
 ///
-/// Pieces are written first, under names that say their content; then one
-/// compare-and-swap of the root accepts the file as a whole. Each write of
-/// the root carries a name of its writer that nobody else uses, and the
-/// root keeps the last of these: after a lost answer the store alone tells
-/// whether the write took effect, even if another one followed it.
+/// Pieces are written first, under their digests; then one compare-and-swap of
+/// the root accepts the file as a unit. Each write of the root carries a unique
+/// writer name, and the root keeps the latest of these names. After a lost
+/// response the store alone shows whether the write took effect, even if
+/// another write followed.
 class ConfigurationStore {
  public:
   explicit ConfigurationStore(KeyValueStore& aStore) : store(aStore) {}
 
-  /// Reads the accepted configuration; none where nothing was applied yet.
+  /// Reads the accepted configuration; none if nothing was applied yet.
   ///
-  /// Pieces that `aKnown` holds are not read again.
+  /// Pieces in `aKnown` are not read again.
   Result<std::optional<StoredConfiguration>> Load(
       const ConfigurationPieces* aKnown);
 
-  /// The same from a root that has been read already.
+  /// Like `Load`, from a root that has already been read.
   Result<StoredConfiguration> LoadPieces(const StoredValue& aRoot,
                                          const ConfigurationPieces* aKnown);
 
   /// Makes `aYaml` the accepted configuration in place of `aBase`.
   ///
-  /// Fails with `ConfigConflict` where another file was accepted since, and
-  /// with `PlatformUnavailable` where the store cannot tell yet.
+  /// Fails with `ConfigConflict` if another file was accepted since, and with
+  /// `PlatformUnavailable` if the outcome is not known yet.
   Result<ApplyOutcome> Apply(const std::string& aYaml,
                              const std::optional<StoredConfiguration>& aBase,
                              const std::string& aWriter,
                              const WallClock& aWallClock);
 
-  /// Removes pieces that the root does not name and that were unused, at
-  /// the same revision, at an earlier look.
+  /// Removes pieces that the root does not reference and that were already
+  /// unused, at the same revision, in an earlier pass.
   ///
-  /// Gives the pieces that are unused now: the input of the next look. A
-  /// writer that takes up an unused piece writes it anew, which changes its
-  /// revision, so that a look between its pieces and its root spares it.
+  /// Returns the pieces that are unused now, the input of the next pass. A
+  /// writer that reuses an unused piece writes it again, which changes its
+  /// revision, so a pass between the writes of its pieces and its root does not
+  /// remove it.
   Result<std::vector<KeyedValue>> CollectUnused(
-      const std::vector<KeyedValue>& aSeenBefore);
+      const std::vector<KeyedValue>& aUnusedBefore);
 
  private:
   Result<void> ReadPieces(const std::set<std::string>& aDigests,
--- a/Zincstep/Control/Control.h
+++ b/Zincstep/Control/Control.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// \file
-/// Public header of the control library: configuration, leases, orders.
+/// Public header of the control library: configuration, leases, member lists
+/// and the reconciliation of upstreams.
 
 #include "Zincstep/Control/ConfigurationStore.h"
 #include "Zincstep/Control/DomainStatus.h"
--- a/Zincstep/Control/DomainStatus.cpp
+++ b/Zincstep/Control/DomainStatus.cpp
@@ -53,9 +53,9 @@
       status.daemons.push_back(std::move(daemon));
     }
     return status;
-  } catch (const Json::exception& fault) {
+  } catch (const Json::exception& error) {
     return Fail(ErrorKind::Internal,
-                std::string("the status cannot be read: ") + fault.what());
+                std::string("invalid domain status: ") + error.what());
   }
 }
 
--- a/Zincstep/Control/DomainStatus.h
+++ b/Zincstep/Control/DomainStatus.h
@@ -9,37 +9,37 @@
 
 namespace zincstep {
 
-/// One daemon as its domain's control duty knows it.
+/// A daemon as seen by the leader of its domain.
 struct DaemonStatus {
   std::string vm;
   std::string member;
   std::string address;
-  /// Revision that is in force there; 0 for none.
+  /// Revision of the active configuration; 0: none.
   std::uint64_t revision = 0;
   bool isLive = false;
   bool isStopping = false;
-  /// Microseconds since 1970 at which it was last heard.
+  /// Microseconds since 1970 at which it was last seen alive; 0: never.
   std::int64_t lastSeenAt = 0;
 };
 
-/// What the control duty of a domain writes for operators to read.
+/// Status of a failure domain that its leader writes for operators.
 struct DomainStatus {
   std::string failureDomain;
   std::string leader;
   std::uint64_t fence = 0;
-  /// Microseconds since 1970 at which it was written.
+  /// Microseconds since 1970 at which the status was written.
   std::int64_t writtenAt = 0;
   std::vector<DaemonStatus> daemons;
   /// Upstreams that are not as declared, with the reason.
   std::map<std::string, std::string> stuck;
-  /// Upstreams that leave.
+  /// Upstreams that are leaving.
   std::vector<std::string> leaving;
 };
 
-/// Keys of domains' statuses begin so.
+/// Prefix of the keys of domains' statuses.
 inline constexpr const char* kStatusPrefix = "status/";
 
-/// A status as text, and back.
+/// Converts a status to text and back.
 std::string WriteDomainStatus(const DomainStatus& aStatus);
 Result<DomainStatus> ReadDomainStatus(const std::string& aText);
 
--- a/Zincstep/Control/MemberListPlanner.h
+++ b/Zincstep/Control/MemberListPlanner.h
@@ -8,42 +8,43 @@
 
 namespace zincstep {
 
-/// Settings of a member keeper.
+/// Settings of a member list planner.
 struct MemberListPlannerSettings {
   /// Time for which a replaced list is still consulted.
-  Micros memory = kKeyRetention;
-  /// Least time between two new lists, once several are in use.
+  Micros listRetention = kKeyRetention;
+  /// Minimum time between two new lists once several are in use.
   Micros interval = 75s;
   Micros shortInterval = 3s;
-  /// Lists in use up to which the short interval holds.
+  /// Number of lists in use below which `shortInterval` applies.
   std::size_t fewLists = 4;
   std::size_t maxLists = 8;
 };
 
 /// Decides how the agreed member lists of a region change.
 ///
-/// A new list is made when members have come or gone. The ones before it
-/// stay in use until the memory of keys has passed, counted here from the
-/// moment that this daemon saw them replaced: a new keeper starts the
-/// count again, which errs to the longer side.
+/// A new list is added when members have joined or left. Earlier lists stay in
+/// use until the retention time of keys has passed since this daemon saw them
+/// replaced. A new planner starts that time again, so lists are kept too long
+/// rather than too short.
 class MemberListPlanner {
  public:
   explicit MemberListPlanner(MemberListPlannerSettings aSettings)
       : settings(aSettings) {}
 
-  /// The lists as they should be; equal to `aLists` where all is well.
+  /// Returns the lists as they should be; equal to `aLists` if nothing changes.
   ///
-  /// `aDomain` is the domain that this keeper speaks for, `aLive` its
-  /// members that are heard, `aGone` members that certainly run no more.
+  /// `aDomain` is the failure domain that this planner is responsible for,
+  /// `aLive` its live members, and `aRemoved` the members that are certain to
+  /// have stopped.
   MemberLists Next(const MemberLists& aLists, const std::string& aDomain,
                    const std::vector<Member>& aLive,
-                   const std::vector<std::string>& aGone,
+                   const std::vector<std::string>& aRemoved,
                    const std::map<std::string, std::string>& aHandedTo,
                    Instant aNow);
 
  private:
-  bool MayAddList(const MemberLists& aLists, Instant aNow) const;
-  void DropOld(MemberLists& aLists, Instant aNow);
+  bool CanAddList(const MemberLists& aLists, Instant aNow) const;
+  void RemoveExpired(MemberLists& aLists, Instant aNow);
 
   MemberListPlannerSettings settings;
   /// When each list was first seen to be replaced.
--- a/Zincstep/Control/Reconciler.cpp
+++ b/Zincstep/Control/Reconciler.cpp
@@ -7,93 +7,96 @@
 
 namespace {
 
-constexpr int kMaxDoublings = 10;
+constexpr int kMaxBackoffDoublings = 10;
 
 }  // namespace
 
 bool CoversAllLayers(const std::vector<const UpstreamState*>& aUpstreams,
                      int aLayers) {
   std::set<std::string> versions;
-  for (const UpstreamState* one : aUpstreams) {
-    versions.insert(one->actualVersion);
+  for (const UpstreamState* upstream : aUpstreams) {
+    versions.insert(upstream->actualVersion);
   }
   for (const std::string& version : versions) {
-    int reached = 0;
-    bool grows = true;
-    while (reached < aLayers && grows) {
-      grows = false;
-      for (const UpstreamState* one : aUpstreams) {
-        const bool extends = one->actualVersion == version &&
-                             one->layers.first <= reached &&
-                             one->layers.last > reached;
+    int coveredLayers = 0;
+    bool hasAdvanced = true;
+    while (coveredLayers < aLayers && hasAdvanced) {
+      hasAdvanced = false;
+      for (const UpstreamState* upstream : aUpstreams) {
+        const bool extends = upstream->actualVersion == version &&
+                             upstream->layers.first <= coveredLayers &&
+                             upstream->layers.last > coveredLayers;
         if (extends) {
-          reached = one->layers.last;
-          grows = true;
+          coveredLayers = upstream->layers.last;
+          hasAdvanced = true;
         }
       }
     }
-    if (reached >= aLayers) {
+    if (coveredLayers >= aLayers) {
       return true;
     }
   }
   return false;
 }
 
-bool Reconciler::CanSpare(const std::vector<UpstreamState>& aStates,
-                          const UpstreamState& aOne, int aLayers) const {
+bool Reconciler::CanTakeOutOfService(const std::vector<UpstreamState>& aStates,
+                                     const UpstreamState& aUpstream,
+                                     int aLayers) const {
   std::vector<const UpstreamState*> all;
-  std::vector<const UpstreamState*> rest;
+  std::vector<const UpstreamState*> remaining;
   for (const UpstreamState& other : aStates) {
-    const bool serves = other.model == aOne.model && other.reachable &&
+    const bool serves = other.model == aUpstream.model && other.reachable &&
                         !other.leaving && !other.actualVersion.empty() &&
                         !this->changes.contains(other.name);
     if (serves) {
       all.push_back(&other);
-      if (other.name != aOne.name) {
-        rest.push_back(&other);
+      if (other.name != aUpstream.name) {
+        remaining.push_back(&other);
       }
     }
   }
-  return CoversAllLayers(rest, aLayers) || !CoversAllLayers(all, aLayers);
+  return CoversAllLayers(remaining, aLayers) || !CoversAllLayers(all, aLayers);
 }
 
-bool Reconciler::MayBegin(const std::vector<UpstreamState>& aStates,
-                          const UpstreamState& aOne, int aLayers, int aMoving,
-                          std::string& aWhyNot) const {
-  if (!aOne.reachable) {
-    aWhyNot = "it does not answer";
-  } else if (aOne.actualVersion.empty()) {
-    aWhyNot = "it is loading";
-  } else if (aMoving >= this->settings.loadsAtATime) {
-    aWhyNot = "others are changed first";
-  } else if (!this->CanSpare(aStates, aOne, aLayers)) {
-    aWhyNot = "without it no chain of its model would be whole";
+bool Reconciler::CanStartChange(const std::vector<UpstreamState>& aStates,
+                                const UpstreamState& aUpstream, int aLayers,
+                                int aChanging, std::string& aReason) const {
+  if (!aUpstream.reachable) {
+    aReason = "no response";
+  } else if (aUpstream.actualVersion.empty()) {
+    aReason = "the upstream is loading";
+  } else if (aChanging >= this->settings.maxConcurrentLoads) {
+    aReason = "waiting for other upstreams to change";
+  } else if (!this->CanTakeOutOfService(aStates, aUpstream, aLayers)) {
+    aReason = "no other upstreams cover all layers of its model";
   }
-  return aWhyNot.empty();
+  return aReason.empty();
 }
 
-void Reconciler::Advance(const UpstreamState& aOne, Change& aChange,
-                         Instant aNow, ReconcileStep& aStep) const {
-  aStep.paused.push_back(aOne.name);
-  const bool drained = aOne.sequences <= 0 ||
+void Reconciler::ContinueChange(const UpstreamState& aUpstream, Change& aChange,
+                                Instant aNow, ReconcileStep& aStep) const {
+  aStep.paused.push_back(aUpstream.name);
+  const bool drained = aUpstream.sequences <= 0 ||
                        aNow - aChange.pausedAt >= this->settings.drainTimeout;
-  if (!aOne.reachable) {
-    aStep.stuck[aOne.name] = "it stopped answering while it was changed";
-  } else if (aOne.actualVersion.empty()) {
-    aStep.stuck[aOne.name] = "it is loading " + aOne.declaredVersion;
+  if (!aUpstream.reachable) {
+    aStep.stuck[aUpstream.name] = "no response during the change";
+  } else if (aUpstream.actualVersion.empty()) {
+    aStep.stuck[aUpstream.name] = "loading " + aUpstream.declaredVersion;
   } else if (!drained) {
-    aStep.stuck[aOne.name] = "its sequences are ending";
+    aStep.stuck[aUpstream.name] = "waiting for its sequences to end";
   } else if (aNow >= aChange.retryAt) {
-    const int doublings = std::min(aChange.orders, kMaxDoublings);
+    const int doublings = std::min(aChange.orders, kMaxBackoffDoublings);
     aChange.orders += 1;
     aChange.retryAt =
         aNow + std::min(this->settings.initialBackoff * (1 << doublings),
                         this->settings.maxBackoff);
-    aStep.orders.push_back(
-        {aOne.name, aOne.address, aOne.declaredVersion, aOne.actualVersion});
-    aStep.stuck[aOne.name] = "it was ordered to load " + aOne.declaredVersion;
+    aStep.orders.push_back({aUpstream.name, aUpstream.address,
+                            aUpstream.declaredVersion,
+                            aUpstream.actualVersion});
+    aStep.stuck[aUpstream.name] =
+        "ordered to load " + aUpstream.declaredVersion;
   } else {
-    aStep.stuck[aOne.name] = "its last order had no effect yet";
+    aStep.stuck[aUpstream.name] = "the last order has had no effect yet";
   }
 }
 
@@ -102,36 +105,40 @@
                                Instant aNow) {
   ReconcileStep step;
   std::set<std::string> known;
-  for (const UpstreamState& one : aStates) {
-    known.insert(one.name);
-    const bool done = one.actualVersion == one.declaredVersion || one.leaving;
+  for (const UpstreamState& upstream : aStates) {
+    known.insert(upstream.name);
+    const bool done =
+        upstream.actualVersion == upstream.declaredVersion || upstream.leaving;
     if (done) {
-      this->changes.erase(one.name);
+      this->changes.erase(upstream.name);
     }
   }
   std::erase_if(this->changes, [&](const auto& aEntry) {
     return !known.contains(aEntry.first);
   });
-  for (const UpstreamState& one : aStates) {
-    if (one.actualVersion == one.declaredVersion || one.leaving) {
+  for (const UpstreamState& upstream : aStates) {
+    if (upstream.actualVersion == upstream.declaredVersion ||
+        upstream.leaving) {
       continue;
     }
-    const auto layers = aLayers.find(one.model);
+    const auto layers = aLayers.find(upstream.model);
     if (layers == aLayers.end()) {
       continue;
     }
-    if (!this->changes.contains(one.name)) {
-      std::string whyNot;
-      const int moving = static_cast<int>(this->changes.size());
-      if (!this->MayBegin(aStates, one, layers->second, moving, whyNot)) {
-        step.stuck[one.name] = whyNot;
+    if (!this->changes.contains(upstream.name)) {
+      std::string reason;
+      const int changing = static_cast<int>(this->changes.size());
+      if (!this->CanStartChange(aStates, upstream, layers->second, changing,
+                                reason)) {
+        step.stuck[upstream.name] = reason;
         continue;
       }
       // One interval passes between the pause and the first order, so that
-      // every daemon has heard of the pause and reports what still runs.
-      this->changes[one.name] = {aNow, aNow + this->settings.initialBackoff, 0};
+      // every daemon has received the pause and reports what still runs.
+      this->changes[upstream.name] = {aNow,
+                                      aNow + this->settings.initialBackoff, 0};
     }
-    this->Advance(one, this->changes.at(one.name), aNow, step);
+    this->ContinueChange(upstream, this->changes.at(upstream.name), aNow, step);
   }
   return step;
 }
--- a/Zincstep/Control/Reconciler.h
+++ b/Zincstep/Control/Reconciler.h
@@ -8,14 +8,14 @@
 
 namespace zincstep {
 
-/// One upstream as it is, beside what is declared for it.
+/// The actual state of an upstream and its declared version.
 struct UpstreamState {
   std::string name;
   std::string address;
   std::string model;
   LayerRange layers;
   std::string declaredVersion;
-  /// Empty while it loads, or where it was not heard.
+  /// Empty while it loads or if it did not respond.
   std::string actualVersion;
   double sequences = 0;
   bool reachable = false;
@@ -23,55 +23,54 @@
   bool checksFence = false;
 };
 
-/// An order to load a version, sent under a fence.
+/// An order to load a version, sent with a fence.
 struct LoadOrder {
   std::string upstream;
   std::string address;
   std::string version;
-  /// The version that it must hold now: an order that comes late, when
-  /// the upstream has moved on, does nothing.
+  /// The version that the upstream must hold now. An order that arrives late,
+  /// after the upstream has changed again, has no effect.
   std::string expectedVersion;
 };
 
-/// What the reconciler wants now.
+/// Actions that the reconciler requests now.
 struct ReconcileStep {
-  /// Upstreams that daemons are to give no new work.
+  /// Upstreams that daemons send no new work to.
   std::vector<std::string> paused;
   std::vector<LoadOrder> orders;
-  /// What is not as declared, and why it waits: upstream to reason.
+  /// Upstreams that are not as declared, with the reason why they wait.
   std::map<std::string, std::string> stuck;
 };
 
 /// Settings of a reconciler.
 struct ReconcilerSettings {
-  /// Loads at a time, for the weight store's sake.
-  int loadsAtATime = 2;
-  /// Pause before an order that had no effect is sent again; doubles.
+  /// Limits the load on the weight store.
+  int maxConcurrentLoads = 2;
+  /// Backoff before an order without effect is sent again; doubles each time.
   Micros initialBackoff = 2s;
   Micros maxBackoff = 60s;
-  /// A paused upstream whose sequences do not end is changed after this.
+  /// A paused upstream whose sequences do not end is changed after this time.
   Micros drainTimeout = 330s;
-  /// Time for which a load may take before it counts as stuck.
+  /// Time after which a load counts as stuck.
   Micros loadTimeout = 120s;
 };
 
-/// Brings upstreams from the version they hold to the declared one.
+/// Brings upstreams from their actual version to the declared one.
 ///
-/// One upstream after the other is paused, left to end its sequences, and
-/// ordered to load. An upstream may only be taken out while the others of
-/// its model still cover every layer in one of the versions; it is not
-/// when nothing would be left, unless no chain is whole anyway. The state
-/// of the world is read anew in each step, so that a stray order or a
-/// restart is mended like any other difference.
+/// Each upstream is paused, drained of its sequences and ordered to load. An
+/// upstream may only be taken out of service while the others of its model
+/// still cover every layer in one version, unless no chain is complete anyway.
+/// The actual state is read again in each step, so a stray order or a restart
+/// is corrected like any other difference.
 class Reconciler {
  public:
   explicit Reconciler(ReconcilerSettings aSettings) : settings(aSettings) {}
 
-  /// Decides on the next step.
+  /// Returns the next actions; call periodically.
   ReconcileStep Step(const std::vector<UpstreamState>& aStates,
                      const std::map<std::string, int>& aLayers, Instant aNow);
 
-  /// Forgets all, as when the duty is lost.
+  /// Discards all state, as after the leadership is lost.
   void Reset() { this->changes.clear(); }
 
  private:
@@ -81,13 +80,13 @@
     int orders = 0;
   };
 
-  bool CanSpare(const std::vector<UpstreamState>& aStates,
-                const UpstreamState& aOne, int aLayers) const;
-  bool MayBegin(const std::vector<UpstreamState>& aStates,
-                const UpstreamState& aOne, int aLayers, int aMoving,
-                std::string& aWhyNot) const;
-  void Advance(const UpstreamState& aOne, Change& aChange, Instant aNow,
-               ReconcileStep& aStep) const;
+  bool CanTakeOutOfService(const std::vector<UpstreamState>& aStates,
+                           const UpstreamState& aUpstream, int aLayers) const;
+  bool CanStartChange(const std::vector<UpstreamState>& aStates,
+                      const UpstreamState& aUpstream, int aLayers,
+                      int aChanging, std::string& aReason) const;
+  void ContinueChange(const UpstreamState& aUpstream, Change& aChange,
+                      Instant aNow, ReconcileStep& aStep) const;
 
   ReconcilerSettings settings;
   std::map<std::string, Change> changes;
--- a/Zincstep/Membership/LeavingUpstreams.cpp
+++ b/Zincstep/Membership/LeavingUpstreams.cpp
@@ -8,32 +8,32 @@
 
 std::vector<std::string> LeavingUpstreams::OnVmList(
     const std::vector<VmEntry>& aVms) {
-  std::vector<std::string> news;
-  std::set<std::string> now;
+  std::vector<std::string> newlyLeaving;
+  std::set<std::string> current;
   for (const VmEntry& vm : aVms) {
     if (vm.role != VmRole::Upstream) {
       continue;
     }
-    now.insert(vm.name);
-    const bool isNewVm = this->vanished.erase(vm.name) > 0 && !vm.leaving;
-    if (isNewVm) {
+    current.insert(vm.name);
+    const bool hasReturned = this->removed.erase(vm.name) > 0 && !vm.leaving;
+    if (hasReturned) {
       this->leaving.erase(vm.name);
     }
     if (vm.leaving && this->OnLeaving(vm.name)) {
-      news.push_back(vm.name);
+      newlyLeaving.push_back(vm.name);
     }
   }
   for (const std::string& name : this->listed) {
-    if (now.contains(name)) {
+    if (current.contains(name)) {
       continue;
     }
-    this->vanished.insert(name);
+    this->removed.insert(name);
     if (this->OnLeaving(name)) {
-      news.push_back(name);
+      newlyLeaving.push_back(name);
     }
   }
-  this->listed = std::move(now);
-  return news;
+  this->listed = std::move(current);
+  return newlyLeaving;
 }
 
 }  // namespace zincstep
--- a/Zincstep/Membership/PeerTable.cpp
+++ b/Zincstep/Membership/PeerTable.cpp
@@ -27,7 +27,7 @@
     peer.vm = vm.name;
     peer.failureDomain = vm.failureDomain;
     peer.peerAddress = vm.peerAddress;
-    // Leaving is sticky: the list may only add it.
+    // Leaving is sticky: the list can only add it.
     peer.stopping = peer.stopping || vm.leaving;
   }
   this->peers = std::move(next);
@@ -39,7 +39,7 @@
     return;
   }
   PeerInfo& peer = found->second;
-  // A new incarnation on the same VM has nothing of the old one's state.
+  // A new incarnation on the same VM does not inherit the old one's state.
   const bool isNew = peer.member != aGossip.member;
   peer.member = aGossip.member;
   peer.address = aGossip.address;
@@ -61,8 +61,8 @@
   return found;
 }
 
-std::string PeerTable::OwnerOf(const std::string& aDuty, Instant aNow) const {
-  const std::uint64_t key = Hash64(aDuty);
+std::string PeerTable::OwnerOf(const std::string& aTask, Instant aNow) const {
+  const std::uint64_t key = Hash64(aTask);
   std::string best = this->ownVm;
   std::uint64_t bestScore = RendezvousScore(key, this->ownVm);
   for (const PeerInfo* peer : this->DomainPeers()) {
--- a/Zincstep/Membership/PeerTable.h
+++ b/Zincstep/Membership/PeerTable.h
@@ -15,7 +15,7 @@
   std::string vm;
   std::string failureDomain;
   std::string peerAddress;
-  /// From its gossip; empty until it was heard.
+  /// From its gossip; empty until the first message.
   std::string member;
   std::string address;
   std::uint64_t revision = 0;
@@ -28,45 +28,46 @@
 
 /// Settings of a peer table.
 struct PeerTableSettings {
-  /// A peer that was silent for longer is not counted on.
-  Micros silence = 3s;
+  /// A peer without a message for longer than this does not count as live.
+  Micros peerTimeout = 3s;
 };
 
-/// The entry daemons of a region: the VM list joined with what is heard.
+/// The entry daemons of a region: the VM list joined with their gossip.
 ///
-/// The list says who exists; gossip says who lives. A peer that is heard
-/// is counted on even where the list has not shown it yet, and one that is
-/// listed but silent is kept, yet given no duty. One that says that it is
-/// stopping has no duty from then on, whatever the list says.
+/// The VM list says which daemons exist, gossip which are live. A listed peer
+/// that is not live is kept but gets no tasks. A peer that reports that it is
+/// stopping gets no tasks from then on, whatever the list says.
 class PeerTable {
  public:
   PeerTable(std::string aOwnVm, std::string aOwnDomain,
             PeerTableSettings aSettings);
 
-  /// Takes the entry daemons of a new VM list.
+  /// Applies the entry daemons of a new VM list.
   void SetVms(const std::vector<VmEntry>& aVms,
               const std::set<std::string>& aRegionDomains);
-  /// Takes a peer's gossip.
+  /// Applies a peer's gossip.
   void OnGossip(const GossipMessage& aGossip, Instant aNow);
 
-  /// Peers in this daemon's own domain.
+  /// Returns the peers in this daemon's own domain.
   std::vector<const PeerInfo*> DomainPeers() const;
   /// All peers.
   const std::map<std::string, PeerInfo>& All() const { return this->peers; }
-  /// Whether a peer was heard of late.
+  /// Whether a message of the peer arrived within `peerTimeout`.
   bool IsLive(const PeerInfo& aPeer, Instant aNow) const {
-    return aPeer.hasGossip && aNow - aPeer.lastSeenAt <= this->settings.silence;
+    return aPeer.hasGossip &&
+           aNow - aPeer.lastSeenAt <= this->settings.peerTimeout;
   }
-  /// The VM of this domain that has a duty, by rendezvous hashing over
-  /// those that are heard, this one included.
-  std::string OwnerOf(const std::string& aDuty, Instant aNow) const;
-  /// Whether this daemon has a duty.
-  bool IsMine(const std::string& aDuty, Instant aNow) const {
-    return this->OwnerOf(aDuty, aNow) == this->ownVm;
+  /// Returns the VM of this domain that a task is assigned to, by rendezvous
+  /// hashing over the live daemons, this one included.
+  std::string OwnerOf(const std::string& aTask, Instant aNow) const;
+  /// Whether a task is assigned to this daemon.
+  bool IsMine(const std::string& aTask, Instant aNow) const {
+    return this->OwnerOf(aTask, aNow) == this->ownVm;
   }
-  /// Daemons of this domain that are heard, this one included.
+  /// Number of live daemons of this domain, this one included.
   int LiveDaemons(Instant aNow) const;
-  /// Address of the peer that runs as `aMember`, or empty.
+  /// Returns the address of the peer that runs as `aMember`, or an empty
+  /// string.
   std::string AddressOfMember(const std::string& aMember) const;
 
  private:
