--- a/UnitTests/StopPolicyTest.cpp
+++ b/UnitTests/StopPolicyTest.cpp
@@ -39,22 +39,22 @@
   }
 
   void ClosesResting_AfterTheBalancersNotice_IsTrue() {
-    CPPUNIT_ASSERT(!policy.ClosesIdle(start));
+    CPPUNIT_ASSERT(!policy.ShouldCloseIdle(start));
     policy.Begin(start);
-    CPPUNIT_ASSERT(!policy.ClosesIdle(start + 1s));
-    CPPUNIT_ASSERT(policy.ClosesIdle(start + 3s));
+    CPPUNIT_ASSERT(!policy.ShouldCloseIdle(start + 1s));
+    CPPUNIT_ASSERT(policy.ShouldCloseIdle(start + 3s));
   }
 
   void MayEnd_RequestsLeft_WaitsForTheGrace() {
     policy.Begin(start);
-    CPPUNIT_ASSERT(!policy.MayEnd(1, start + 7s));
-    CPPUNIT_ASSERT(policy.MayEnd(1, start + 7500ms));
+    CPPUNIT_ASSERT(!policy.CanExit(1, start + 7s));
+    CPPUNIT_ASSERT(policy.CanExit(1, start + 7500ms));
   }
 
   void MayEnd_BeforeTheBalancersNotice_IsFalse() {
     policy.Begin(start);
-    CPPUNIT_ASSERT(!policy.MayEnd(0, start + 1s));
-    CPPUNIT_ASSERT(policy.MayEnd(0, start + 3s));
+    CPPUNIT_ASSERT(!policy.CanExit(0, start + 1s));
+    CPPUNIT_ASSERT(policy.CanExit(0, start + 3s));
   }
 };
 
--- a/Zincstep/Edge/EdgeDaemon.cpp
+++ b/Zincstep/Edge/EdgeDaemon.cpp
@@ -395,7 +395,7 @@
 
 void EdgeDaemon::OnConfiguration() {
   this->callers.SetLimits(this->view.Table()->Configuration().limits);
-  this->relay.TickSoon();
+  this->relay.ScheduleTick();
   this->peers.OnConfiguration();
 }
 
@@ -407,7 +407,7 @@
     this->peers.GossipSoon();
   }
   this->controller.Tick();
-  this->relay.TickSoon();
+  this->relay.ScheduleTick();
 }
 
 void EdgeDaemon::WaitForSignal() {
@@ -445,7 +445,7 @@
 void EdgeDaemon::OnFastTick() {
   this->DetectSuspension();
   this->relay.Tick();
-  if (this->stop.MayEnd(this->relay.Active(), this->clock.Now())) {
+  if (this->stop.CanExit(this->relay.Active(), this->clock.Now())) {
     this->loop.stop();
     return;
   }
@@ -459,7 +459,7 @@
 }
 
 void EdgeDaemon::OnPeriodicTick() {
-  if (this->stop.ClosesIdle(this->clock.Now())) {
+  if (this->stop.ShouldCloseIdle(this->clock.Now())) {
     this->callers.CloseIdle();
   }
   this->callers.Tick();
--- a/Zincstep/Relay/Exchange.cpp
+++ b/Zincstep/Relay/Exchange.cpp
@@ -64,7 +64,8 @@
   this->CancelCall();
   const ErrorInfo& answer = ErrorInfoFor(aKind);
   ZINCSTEP_ASSERT(answer.outcome != Outcome::NotRun || !this->hasBegun);
-  HttpHeaders headers = this->context.dialect.OwnAnswer(this->request.facts.id);
+  HttpHeaders headers =
+      this->context.dialect.LocalResponseHeaders(this->request.facts.id);
   if (answer.outcome == Outcome::NotRun) {
     headers.push_back(RetryAfterHeader(this->ComeBackAfter(aKind)));
   }
--- a/Zincstep/Relay/Relay.cpp
+++ b/Zincstep/Relay/Relay.cpp
@@ -131,7 +131,7 @@
 void Relay::RefuseAtOnce(CallerConnection& aConnection, const std::string& aId,
                          const Error& aError) {
   const ErrorInfo& answer = ErrorInfoFor(aError.kind);
-  HttpHeaders headers = this->context.dialect.OwnAnswer(aId);
+  HttpHeaders headers = this->context.dialect.LocalResponseHeaders(aId);
   const Micros after = aError.retryAfter.value_or(
       std::min(answer.retryAfter, this->context.settings.busyRetryAfter));
   if (after > Micros{0}) {
@@ -198,7 +198,7 @@
                 [](const auto& aEntry) { return aEntry.second->IsDone(); });
 }
 
-void Relay::TickSoon() {
+void Relay::ScheduleTick() {
   if (this->isTickDue) {
     return;
   }
--- a/Zincstep/Relay/Relay.h
+++ b/Zincstep/Relay/Relay.h
@@ -27,7 +27,7 @@
   void Tick();
 
   /// Looks at them in the next turn of the loop: a belief has changed.
-  void TickSoon();
+  void ScheduleTick();
   /// A request has been found to end whoever runs it: copies of it that are
   /// on their way end.
   void OnBlocked(RequestFingerprint aRequest);
--- a/Zincstep/Relay/RelayDialect.h
+++ b/Zincstep/Relay/RelayDialect.h
@@ -77,7 +77,7 @@
   virtual std::string WriteRequest(const ForwardedRequest& aRequest) const = 0;
   virtual ResponseInfo ReadResponse(const HttpHead& aHead) const = 0;
   /// Fields of an answer of our own to request `aId`.
-  virtual HttpHeaders OwnAnswer(const std::string& aId) const = 0;
+  virtual HttpHeaders LocalResponseHeaders(const std::string& aId) const = 0;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Relay/StopPolicy.cpp
+++ b/Zincstep/Relay/StopPolicy.cpp
@@ -13,12 +13,12 @@
   return aNow + needed <= end;
 }
 
-bool StopPolicy::ClosesIdle(Instant aNow) const {
+bool StopPolicy::ShouldCloseIdle(Instant aNow) const {
   return this->begunAt &&
          aNow - *this->begunAt >= this->settings.balancerNotice;
 }
 
-bool StopPolicy::MayEnd(std::size_t aActive, Instant aNow) const {
+bool StopPolicy::CanExit(std::size_t aActive, Instant aNow) const {
   if (!this->begunAt) {
     return false;
   }
--- a/Zincstep/Relay/StopPolicy.h
+++ b/Zincstep/Relay/StopPolicy.h
@@ -36,9 +36,9 @@
   /// Whether a new stream (else a request to a plain service) is taken.
   bool Takes(bool aIsStream, Instant aNow) const;
   /// Whether connections without a request are to be closed.
-  bool ClosesIdle(Instant aNow) const;
+  bool ShouldCloseIdle(Instant aNow) const;
   /// Whether the process may end, with so many requests still running.
-  bool MayEnd(std::size_t aActive, Instant aNow) const;
+  bool CanExit(std::size_t aActive, Instant aNow) const;
 
  private:
   StopPolicySettings settings;
