--- a/Zincstep/Edge/EdgeDaemon.cpp
+++ b/Zincstep/Edge/EdgeDaemon.cpp
@@ -155,7 +155,7 @@
 
   static StopPolicySettings MakeStopSettings(const EdgeSettings& aSettings) {
     StopPolicySettings settings;
-    settings.grace = FromSeconds(aSettings.stopGraceSeconds);
+    settings.gracePeriod = FromSeconds(aSettings.stopGraceSeconds);
     return settings;
   }
 
@@ -340,7 +340,7 @@
   CrashGossip unrelated;
   for (const UpstreamCrash& crash : aGossip.crashes) {
     const CrashVerdict verdict =
-        this->crashDetector.Take(crash, Provenance::Reported);
+        this->crashDetector.OnCrash(crash, Provenance::Reported);
     if (verdict == CrashVerdict::Ignored) {
       unrelated.cleared.push_back(crash.request);
     }
--- a/Zincstep/Relay/CrashDetector.cpp
+++ b/Zincstep/Relay/CrashDetector.cpp
@@ -8,231 +8,240 @@
 
 namespace {
 
-/// Time of the first try: many round trips. It doubles with each try that
-/// shows nothing, as the upstream may only be slow.
-constexpr Micros kFirstTimeout = 100ms;
-constexpr Micros kLongestTimeout = 800ms;
-/// Unanswered tries in a row that prove an end: an opening packet may be lost,
-/// and comes again later than a try lasts.
-constexpr int kProvenTries = 2;
-/// A time-out that is noticed this much too late tells of this daemon alone.
-constexpr Micros kLateness = 30ms;
-/// Longest time without knowing: an upstream that has ended is off the list by
-/// then.
-constexpr Micros kLongestQuestion = 3s;
-/// Requests blamed here after which those are forgotten that the ledger has
-/// forgotten: callers make new ones at will.
-constexpr std::size_t kMostBlamedHere = 8192;
+/// Timeout of the first attempt: many round trips. It doubles after each
+/// inconclusive attempt, as the upstream may only be slow.
+constexpr Micros kInitialProbeTimeout = 100ms;
+constexpr Micros kMaxProbeTimeout = 800ms;
+/// Consecutive unanswered attempts that show a crash. One may be a lost SYN,
+/// which is retransmitted only after the attempt timed out.
+constexpr int kMinUnansweredProbes = 2;
+/// A timeout noticed later than this shows only that this daemon was slow.
+constexpr Micros kMaxTimeoutLateness = 30ms;
+/// Maximum duration of an inconclusive probe. By then the entry of a crashed
+/// upstream has been removed from the list.
+constexpr Micros kMaxProbeDuration = 3s;
+/// Size of `locallyObserved` at which requests that the tracker no longer has
+/// are removed. Bounds its memory, as callers can send new requests at will.
+constexpr std::size_t kMaxLocallyObserved = 8192;
 
 }  // namespace
 
-CrashDetector::CrashDetector(CrashTracker& aLedger, UpstreamControl& aControl,
+CrashDetector::CrashDetector(CrashTracker& aTracker, UpstreamControl& aControl,
                              const Clock& aClock, CrashListener& aListener)
-    : ledger(aLedger),
+    : tracker(aTracker),
       clock(aClock),
       listener(aListener),
-      check(aControl, aClock, kLateness) {}
+      check(aControl, aClock, kMaxTimeoutLateness) {}
 
 void CrashDetector::OnRunLost(RequestFingerprint aRequest,
                               const UpstreamPtr& aUpstream) {
   const std::uint64_t number = aUpstream->Number();
   const LostRun run{aRequest, this->clock.Now()};
-  this->ledger.OnSuspected({aRequest, number});
-  const auto open = this->questions.find(number);
-  if (open != this->questions.end()) {
-    Question& question = open->second;
-    (question.nextAt ? question.runs : question.later).push_back(run);
+  this->tracker.OnSuspected({aRequest, number});
+  const auto found = this->pendingProbes.find(number);
+  if (found != this->pendingProbes.end()) {
+    PendingProbe& probe = found->second;
+    (probe.nextAt ? probe.runs : probe.laterRuns).push_back(run);
     return;
   }
-  Question& question = this->questions[number];
-  question.upstream = aUpstream;
-  question.runs = {run};
-  question.timeout = kFirstTimeout;
-  this->Try(number);
+  PendingProbe& probe = this->pendingProbes[number];
+  probe.upstream = aUpstream;
+  probe.runs = {run};
+  probe.timeout = kInitialProbeTimeout;
+  this->SendProbe(number);
 }
 
-void CrashDetector::OnUpstreamAnswered(const LiveUpstream& aUpstream,
-                                       Instant aSentAt) {
-  const auto open = this->questions.find(aUpstream.Number());
-  // Where incarnations are told apart, an answer does not say whose it is.
-  const bool isProof = open != this->questions.end() && open->second.nextAt &&
+void CrashDetector::OnUpstreamResponded(const LiveUpstream& aUpstream,
+                                        Instant aSentAt) {
+  const auto found = this->pendingProbes.find(aUpstream.Number());
+  // If entries have start times, a response does not show which incarnation
+  // sent it.
+  const bool isAlive = found != this->pendingProbes.end() &&
+                       found->second.nextAt &&
                        aUpstream.Entry().startTimeMs == 0 &&
-                       aSentAt > open->second.runs.back().at;
-  if (isProof) {
-    this->OnAlive(open->first, "an answer");
+                       aSentAt > found->second.runs.back().at;
+  if (isAlive) {
+    this->OnAlive(found->first, "it responded to a request");
   }
 }
 
-void CrashDetector::Try(std::uint64_t aUpstream) {
-  Question& question = this->questions.at(aUpstream);
-  question.nextAt.reset();
-  if (question.upstream->HasEnded()) {
-    this->OnEnded(aUpstream, "it has started again");
+void CrashDetector::SendProbe(std::uint64_t aUpstream) {
+  PendingProbe& probe = this->pendingProbes.at(aUpstream);
+  probe.nextAt.reset();
+  if (probe.upstream->HasEnded()) {
+    this->OnEnded(aUpstream, "it has restarted");
     return;
   }
-  if (!this->check.MayAsk(*question.upstream)) {
-    this->Connect(aUpstream);
+  if (!this->check.CanProbe(*probe.upstream)) {
+    this->ProbeConnection(aUpstream);
     return;
   }
-  this->check.Ask(question.upstream, question.timeout,
-                  [this, aUpstream](Liveness aSign, const UpstreamReport*) {
-                    this->OnAsked(aUpstream, aSign);
-                  });
+  this->check.RequestReport(
+      probe.upstream, probe.timeout,
+      [this, aUpstream](Liveness aLiveness, const UpstreamReport*) {
+        this->OnReportResult(aUpstream, aLiveness);
+      });
 }
 
-void CrashDetector::OnAsked(std::uint64_t aUpstream, Liveness aSign) {
-  switch (aSign) {
+void CrashDetector::OnReportResult(std::uint64_t aUpstream,
+                                   Liveness aLiveness) {
+  switch (aLiveness) {
     case Liveness::Alive:
-      this->OnAlive(aUpstream, "a report");
+      this->OnAlive(aUpstream, "it returned a report");
       break;
     case Liveness::Ended:
-      this->OnEnded(aUpstream, "another one answers");
+      this->OnEnded(aUpstream, "another incarnation responds");
       break;
     case Liveness::Dropped:
-      if (this->CountUnanswered(aUpstream)) {
-        this->OnEnded(aUpstream, "drops its connections");
+      if (this->RecordUnanswered(aUpstream)) {
+        this->OnEnded(aUpstream, "it closes connections");
       } else {
-        this->Try(aUpstream);
+        this->SendProbe(aUpstream);
       }
       break;
-    case Liveness::Silent:
-      this->questions.at(aUpstream).unanswered += 1;
-      this->Connect(aUpstream);
+    case Liveness::TimedOut:
+      this->pendingProbes.at(aUpstream).unansweredCount += 1;
+      this->ProbeConnection(aUpstream);
       break;
     case Liveness::Unknown:
-      this->Connect(aUpstream);
+      this->ProbeConnection(aUpstream);
       break;
   }
 }
 
-void CrashDetector::Connect(std::uint64_t aUpstream) {
-  Question& question = this->questions.at(aUpstream);
-  this->check.Connect(question.upstream, question.timeout,
-                      [this, aUpstream](Liveness aSign, const UpstreamReport*) {
-                        this->OnConnected(aUpstream, aSign);
-                      });
+void CrashDetector::ProbeConnection(std::uint64_t aUpstream) {
+  PendingProbe& probe = this->pendingProbes.at(aUpstream);
+  this->check.ProbeConnection(
+      probe.upstream, probe.timeout,
+      [this, aUpstream](Liveness aLiveness, const UpstreamReport*) {
+        this->OnConnectionResult(aUpstream, aLiveness);
+      });
 }
 
-void CrashDetector::OnConnected(std::uint64_t aUpstream, Liveness aSign) {
-  if (aSign == Liveness::Ended) {
-    this->OnEnded(aUpstream, "accepts no connection");
-  } else if (aSign == Liveness::Unknown) {
-    this->Wait(this->questions.at(aUpstream));
-  } else if (this->CountUnanswered(aUpstream)) {
-    this->OnEnded(aUpstream, aSign == Liveness::Dropped
-                                 ? "drops its connections"
-                                 : "answers no connection");
+void CrashDetector::OnConnectionResult(std::uint64_t aUpstream,
+                                       Liveness aLiveness) {
+  if (aLiveness == Liveness::Ended) {
+    this->OnEnded(aUpstream, "it refuses connections");
+  } else if (aLiveness == Liveness::Unknown) {
+    this->ScheduleRetry(this->pendingProbes.at(aUpstream));
+  } else if (this->RecordUnanswered(aUpstream)) {
+    this->OnEnded(aUpstream, aLiveness == Liveness::Dropped
+                                 ? "it closes connections"
+                                 : "connections time out");
   } else {
-    this->Connect(aUpstream);
+    this->ProbeConnection(aUpstream);
   }
 }
 
-bool CrashDetector::CountUnanswered(std::uint64_t aUpstream) {
-  Question& question = this->questions.at(aUpstream);
-  question.unanswered += 1;
-  return question.unanswered >= kProvenTries;
+bool CrashDetector::RecordUnanswered(std::uint64_t aUpstream) {
+  PendingProbe& probe = this->pendingProbes.at(aUpstream);
+  probe.unansweredCount += 1;
+  return probe.unansweredCount >= kMinUnansweredProbes;
 }
 
-void CrashDetector::Wait(Question& aQuestion) {
-  aQuestion.unanswered = 0;
-  // Whatever broke off during this try is asked about by the next one.
-  aQuestion.runs.insert(aQuestion.runs.end(), aQuestion.later.begin(),
-                        aQuestion.later.end());
-  aQuestion.later.clear();
-  aQuestion.nextAt = this->clock.Now() + aQuestion.timeout;
-  aQuestion.timeout = std::min(2 * aQuestion.timeout, kLongestTimeout);
+void CrashDetector::ScheduleRetry(PendingProbe& aProbe) {
+  aProbe.unansweredCount = 0;
+  // The next attempt also covers the runs lost during this one.
+  aProbe.runs.insert(aProbe.runs.end(), aProbe.laterRuns.begin(),
+                     aProbe.laterRuns.end());
+  aProbe.laterRuns.clear();
+  aProbe.nextAt = this->clock.Now() + aProbe.timeout;
+  aProbe.timeout = std::min(2 * aProbe.timeout, kMaxProbeTimeout);
 }
 
 void CrashDetector::Tick() {
   const Instant now = this->clock.Now();
   std::vector<std::uint64_t> waiting;
-  for (const auto& [number, question] : this->questions) {
-    if (question.nextAt) {
+  for (const auto& [number, probe] : this->pendingProbes) {
+    if (probe.nextAt) {
       waiting.push_back(number);
     }
   }
   for (const std::uint64_t number : waiting) {
-    const Question& question = this->questions.at(number);
-    const bool hasEnded = question.upstream->HasEnded();
-    if (!hasEnded && now - question.runs.front().at >= kLongestQuestion) {
-      this->GiveUp(number);
-    } else if (hasEnded || now >= *question.nextAt) {
-      this->Try(number);
+    const PendingProbe& probe = this->pendingProbes.at(number);
+    const bool hasEnded = probe.upstream->HasEnded();
+    if (!hasEnded && now - probe.runs.front().at >= kMaxProbeDuration) {
+      this->ExpireRuns(number);
+    } else if (hasEnded || now >= *probe.nextAt) {
+      this->SendProbe(number);
     }
   }
 }
 
-void CrashDetector::GiveUp(std::uint64_t aUpstream) {
-  Question& question = this->questions.at(aUpstream);
-  if (question.upstream->IsDeregistered()) {
-    this->OnEnded(aUpstream, "it has left the list");
+void CrashDetector::ExpireRuns(std::uint64_t aUpstream) {
+  PendingProbe& probe = this->pendingProbes.at(aUpstream);
+  if (probe.upstream->IsDeregistered()) {
+    this->OnEnded(aUpstream, "it was deregistered");
     return;
   }
-  // The upstream may have ended since the first of them; those that broke off
-  // later have the same time.
-  const auto young =
-      std::find_if(question.runs.begin(), question.runs.end(),
+  // The upstream may have crashed since the first loss, so each run has the
+  // full duration before it expires.
+  const auto firstRecent =
+      std::find_if(probe.runs.begin(), probe.runs.end(),
                    [now = this->clock.Now()](const LostRun& aRun) {
-                     return now - aRun.at < kLongestQuestion;
+                     return now - aRun.at < kMaxProbeDuration;
                    });
-  const std::vector<LostRun> old(question.runs.begin(), young);
-  question.runs.erase(question.runs.begin(), young);
-  this->Settle(question, old, "upstream_end_unproven",
-               "connections are accepted, and it is on the list");
-  for (const LostRun& run : question.runs) {
-    this->ledger.OnSuspected({run.request, aUpstream});
+  const std::vector<LostRun> expired(probe.runs.begin(), firstRecent);
+  probe.runs.erase(probe.runs.begin(), firstRecent);
+  this->ResolveRuns(probe, expired, "upstream_end_unproven",
+                    "it accepts connections and is still registered");
+  for (const LostRun& run : probe.runs) {
+    this->tracker.OnSuspected({run.request, aUpstream});
   }
-  if (question.runs.empty()) {
-    this->questions.erase(aUpstream);
+  if (probe.runs.empty()) {
+    this->pendingProbes.erase(aUpstream);
   }
 }
 
 void CrashDetector::OnAlive(std::uint64_t aUpstream, const char* aReason) {
-  const Question settled = std::move(this->questions.at(aUpstream));
-  this->questions.erase(aUpstream);
-  this->Settle(settled, settled.runs, "upstream_lives_after_loss", aReason);
-  for (const LostRun& run : settled.later) {
-    this->OnRunLost(run.request, settled.upstream);
+  const PendingProbe resolved = std::move(this->pendingProbes.at(aUpstream));
+  this->pendingProbes.erase(aUpstream);
+  this->ResolveRuns(resolved, resolved.runs, "upstream_lives_after_loss",
+                    aReason);
+  for (const LostRun& run : resolved.laterRuns) {
+    this->OnRunLost(run.request, resolved.upstream);
   }
 }
 
 void CrashDetector::OnEnded(std::uint64_t aUpstream, const char* aReason) {
-  Question ended = std::move(this->questions.at(aUpstream));
-  this->questions.erase(aUpstream);
-  ended.runs.insert(ended.runs.end(), ended.later.begin(), ended.later.end());
-  this->Blame(ended, aReason);
-  this->Suspect(ended);
+  PendingProbe ended = std::move(this->pendingProbes.at(aUpstream));
+  this->pendingProbes.erase(aUpstream);
+  ended.runs.insert(ended.runs.end(), ended.laterRuns.begin(),
+                    ended.laterRuns.end());
+  this->RecordCrashes(ended, aReason);
+  this->MarkSuspect(ended);
 }
 
-void CrashDetector::Settle(const Question& aQuestion,
-                           const std::vector<LostRun>& aRuns,
-                           const char* aEvent, const char* aReason) {
-  LogInfo(aEvent, {{"upstream", aQuestion.upstream->Entry().id},
+void CrashDetector::ResolveRuns(const PendingProbe& aProbe,
+                                const std::vector<LostRun>& aRuns,
+                                const char* aEvent, const char* aReason) {
+  LogInfo(aEvent, {{"upstream", aProbe.upstream->Entry().id},
                    {"reason", aReason},
                    {"asked_ms", (this->clock.Now() - aRuns.front().at) / 1ms},
                    {"requests", aRuns.size()}});
   for (const LostRun& run : aRuns) {
-    this->ledger.OnSuspicionResolved(
-        {run.request, aQuestion.upstream->Number()});
+    this->tracker.OnSuspicionResolved(
+        {run.request, aProbe.upstream->Number()});
   }
 }
 
-void CrashDetector::Blame(const Question& aQuestion, const char* aReason) {
-  const UpstreamPtr& upstream = aQuestion.upstream;
+void CrashDetector::RecordCrashes(const PendingProbe& aProbe,
+                                  const char* aReason) {
+  const UpstreamPtr& upstream = aProbe.upstream;
   std::vector<UpstreamCrash> crashes;
-  for (const LostRun& run : aQuestion.runs) {
+  for (const LostRun& run : aProbe.runs) {
     const UpstreamCrash crash{run.request, upstream->Number()};
-    this->ledger.OnSuspicionResolved(crash);
-    const bool isInnocent =
-        this->Take(crash, Provenance::Observed) == CrashVerdict::Ignored;
+    this->tracker.OnSuspicionResolved(crash);
+    const bool isUnrelated =
+        this->OnCrash(crash, Provenance::Observed) == CrashVerdict::Ignored;
     LogInfo("upstream_ended_under",
             {{"fingerprint", TextOf(run.request)},
              {"upstream", upstream->Entry().id},
              {"reason", aReason},
              {"asked_ms", (this->clock.Now() - run.at) / 1ms},
-             {"answered_lately", isInnocent},
-             {"beside", aQuestion.runs.size() - 1}});
-    if (!isInnocent) {
+             {"answered_lately", isUnrelated},
+             {"beside", aProbe.runs.size() - 1}});
+    if (!isUnrelated) {
       crashes.push_back(crash);
     }
   }
@@ -241,27 +250,27 @@
   }
 }
 
-void CrashDetector::Suspect(const Question& aQuestion) {
-  const UpstreamPtr& upstream = aQuestion.upstream;
+void CrashDetector::MarkSuspect(const PendingProbe& aProbe) {
+  const UpstreamPtr& upstream = aProbe.upstream;
   const Instant now = this->clock.Now();
   if (!upstream->IsSuspect(now)) {
     upstream->Suspect(now);
     LogInfo("upstream_suspected", {{"upstream", upstream->Entry().id},
-                                   {"reason", "it ended under a request"}});
+                                   {"reason", "it crashed during a request"}});
     this->listener.OnUpstreamSuspected();
   }
 }
 
-CrashVerdict CrashDetector::Take(const UpstreamCrash& aCrash,
-                                 Provenance aProvenance) {
-  const CrashVerdict verdict = this->ledger.OnCrash(aCrash, this->clock.Now());
+CrashVerdict CrashDetector::OnCrash(const UpstreamCrash& aCrash,
+                                    Provenance aProvenance) {
+  const CrashVerdict verdict = this->tracker.OnCrash(aCrash, this->clock.Now());
   if (verdict != CrashVerdict::Ignored && aProvenance == Provenance::Observed) {
-    if (this->blamedHere.size() >= kMostBlamedHere) {
-      std::erase_if(this->blamedHere, [this](RequestFingerprint aRequest) {
-        return !this->ledger.HasCrashes(aRequest);
+    if (this->locallyObserved.size() >= kMaxLocallyObserved) {
+      std::erase_if(this->locallyObserved, [this](RequestFingerprint aRequest) {
+        return !this->tracker.HasCrashes(aRequest);
       });
     }
-    this->blamedHere.insert(aCrash.request);
+    this->locallyObserved.insert(aCrash.request);
   }
   if (verdict == CrashVerdict::Blocked) {
     LogWarning("request_blocked",
@@ -272,20 +281,20 @@
   return verdict;
 }
 
-void CrashDetector::OnAnswered(RequestFingerprint aRequest) {
-  if (!this->ledger.OnCompleted(aRequest, this->clock.Now())) {
+void CrashDetector::OnRequestCompleted(RequestFingerprint aRequest) {
+  if (!this->tracker.OnCompleted(aRequest, this->clock.Now())) {
     return;
   }
-  this->blamedHere.erase(aRequest);
+  this->locallyObserved.erase(aRequest);
   LogInfo("request_cleared", {{"fingerprint", TextOf(aRequest)}});
   this->listener.OnCleared(aRequest);
 }
 
 bool CrashDetector::OnClearedByPeer(RequestFingerprint aRequest) {
-  if (this->ledger.Clear(aRequest)) {
+  if (this->tracker.Clear(aRequest)) {
     LogInfo("request_cleared", {{"fingerprint", TextOf(aRequest)}});
   }
-  return this->blamedHere.erase(aRequest) > 0;
+  return this->locallyObserved.erase(aRequest) > 0;
 }
 
 }  // namespace zincstep
--- a/Zincstep/Relay/CrashDetector.h
+++ b/Zincstep/Relay/CrashDetector.h
@@ -9,99 +9,106 @@
 
 namespace zincstep {
 
-/// Is told of requests that end upstreams, on the loop's thread.
+/// Receives events about requests that crash upstreams, on the loop's thread.
 class CrashListener {
  public:
   virtual ~CrashListener() = default;
 
-  /// Found here: an upstream has ended under these requests.
+  /// This daemon observed that an upstream crashed under these requests.
   virtual void OnCrashes(const std::vector<UpstreamCrash>& aCrashes) = 0;
-  /// Found here: a request that was blamed has been answered whole.
+  /// A request with recorded crashes completed successfully on this daemon.
   virtual void OnCleared(RequestFingerprint aRequest) = 0;
-  /// From now on a request must not run.
+  /// The request is blocked: it must not run from now on.
   virtual void OnBlocked(RequestFingerprint aRequest) = 0;
-  /// An upstream has come under suspicion.
+  /// This daemon marked an upstream as suspect.
   virtual void OnUpstreamSuspected() = 0;
 };
 
-/// Finds out whether upstreams have ended under requests whose runs broke off.
+/// Finds out whether an upstream crashed when a run on it was lost.
 ///
-/// A run that breaks off proves nothing: upstreams reset single answers and
-/// live. So the upstream is asked. Until it is known whether it lives, the
-/// ledger counts it as one that may have ended, and the question is asked again
-/// at growing pauses. If a connection that is accepted, or a time-out that a
-/// busy daemon noticed late, closed the question, the same request could end
-/// one upstream after the other.
+/// A lost run alone is no evidence of a crash: a live upstream may reset a
+/// single response. So the detector probes the upstream, with growing backoff,
+/// until its state is known. Meanwhile the tracker counts the run as a
+/// possible crash. Closing the case on an accepted connection, or on a timeout
+/// that a busy daemon noticed late, would let one request crash one upstream
+/// after the other.
 class CrashDetector {
  public:
-  CrashDetector(CrashTracker& aLedger, UpstreamControl& aControl,
+  CrashDetector(CrashTracker& aTracker, UpstreamControl& aControl,
                 const Clock& aClock, CrashListener& aListener);
 
-  /// A run of that request broke off before any of its answer came.
+  /// Records that a run of the request was lost before any of its response
+  /// arrived, and starts to probe the upstream.
   void OnRunLost(RequestFingerprint aRequest, const UpstreamPtr& aUpstream);
-  /// An upstream has run a request that was sent to it at `aSentAt`.
-  void OnUpstreamAnswered(const LiveUpstream& aUpstream, Instant aSentAt);
-  /// The request has been answered whole.
-  void OnAnswered(RequestFingerprint aRequest);
-  /// Takes what was found here or told by another daemon.
-  CrashVerdict Take(const UpstreamCrash& aCrash, Provenance aProvenance);
-  /// Takes that the request has been answered whole elsewhere. True: it was
-  /// blamed by what was found here, so that the others have to be told.
+  /// Records that the upstream ran a request that was sent to it at `aSentAt`.
+  void OnUpstreamResponded(const LiveUpstream& aUpstream, Instant aSentAt);
+  /// Records that the request completed successfully on this daemon.
+  void OnRequestCompleted(RequestFingerprint aRequest);
+  /// Records a crash that this daemon observed or a peer reported.
+  CrashVerdict OnCrash(const UpstreamCrash& aCrash, Provenance aProvenance);
+  /// Records that the request completed successfully on another daemon.
+  /// Returns true if this daemon had observed a crash under the request, so
+  /// that it must forward the update to the other daemons.
   bool OnClearedByPeer(RequestFingerprint aRequest);
-  /// Asks again where it is due; to be called many times a second.
+  /// Sends the probes that are due; call several times per second.
   void Tick();
 
  private:
-  /// A run that broke off.
+  /// A run that ended without a response.
   struct LostRun {
     RequestFingerprint request{};
     Instant at;
   };
 
-  /// What is being found out about one upstream.
-  struct Question {
+  /// Pending probe of one upstream.
+  struct PendingProbe {
     UpstreamPtr upstream;
-    /// In the order in which they broke off; never empty.
+    /// Runs in the order of their loss; never empty.
     std::vector<LostRun> runs;
-    /// Runs that broke off after the present try began, which may have been
-    /// before the crash.
-    std::vector<LostRun> later;
-    /// Time that each try has, and the pause before the next; both grow.
+    /// Runs lost after the current attempt began. The attempt may have been
+    /// answered before a crash that these runs caused.
+    std::vector<LostRun> laterRuns;
+    /// Timeout of each attempt and backoff before the next; both grow.
     Micros timeout{0};
-    /// None: a try is under way.
+    /// Time of the next attempt; empty while an attempt is in flight.
     std::optional<Instant> nextAt;
-    /// Tries in a row that no one answered.
-    int unanswered = 0;
+    /// Consecutive attempts without a response.
+    int unansweredCount = 0;
   };
 
-  void Try(std::uint64_t aUpstream);
-  void OnAsked(std::uint64_t aUpstream, Liveness aSign);
-  void Connect(std::uint64_t aUpstream);
-  void OnConnected(std::uint64_t aUpstream, Liveness aSign);
-  /// Takes that one more try was not answered. True: so many in a row prove an
-  /// end.
-  bool CountUnanswered(std::uint64_t aUpstream);
-  /// Nothing is known yet: asks again later.
-  void Wait(Question& aQuestion);
-  /// The list decides on runs about which nothing was known for too long.
-  void GiveUp(std::uint64_t aUpstream);
-  /// The upstream lives.
+  void SendProbe(std::uint64_t aUpstream);
+  void OnReportResult(std::uint64_t aUpstream, Liveness aLiveness);
+  void ProbeConnection(std::uint64_t aUpstream);
+  void OnConnectionResult(std::uint64_t aUpstream, Liveness aLiveness);
+  /// Records one more attempt without a response. Returns true if the number
+  /// of consecutive ones shows that the upstream crashed.
+  bool RecordUnanswered(std::uint64_t aUpstream);
+  /// Schedules another attempt, as this one had no conclusive result.
+  void ScheduleRetry(PendingProbe& aProbe);
+  /// Resolves runs whose probe stayed inconclusive for too long, by whether
+  /// the upstream is still registered.
+  void ExpireRuns(std::uint64_t aUpstream);
+  /// The upstream is alive.
   void OnAlive(std::uint64_t aUpstream, const char* aReason);
+  /// The upstream crashed or restarted.
   void OnEnded(std::uint64_t aUpstream, const char* aReason);
-  /// Takes out of the ledger what was open about these runs.
-  void Settle(const Question& aQuestion, const std::vector<LostRun>& aRuns,
-              const char* aEvent, const char* aReason);
-  void Blame(const Question& aQuestion, const char* aReason);
-  void Suspect(const Question& aQuestion);
+  /// Removes the possible crashes of these runs from the tracker.
+  void ResolveRuns(const PendingProbe& aProbe,
+                   const std::vector<LostRun>& aRuns, const char* aEvent,
+                   const char* aReason);
+  /// Records a crash for each run of the probe and notifies the listener.
+  void RecordCrashes(const PendingProbe& aProbe, const char* aReason);
+  void MarkSuspect(const PendingProbe& aProbe);
 
-  /// Requests that were blamed by this daemon first; the others believe it.
-  std::unordered_set<RequestFingerprint> blamedHere;
-  CrashTracker& ledger;
+  /// Requests whose crashes this daemon observed itself. Peers recorded them
+  /// on its report, so it also has to report when such a request is cleared.
+  std::unordered_set<RequestFingerprint> locallyObserved;
+  CrashTracker& tracker;
   const Clock& clock;
   CrashListener& listener;
   LivenessCheck check;
-  /// By the numbers of the upstreams.
-  std::unordered_map<std::uint64_t, Question> questions;
+  /// Keyed by `LiveUpstream::Number`.
+  std::unordered_map<std::uint64_t, PendingProbe> pendingProbes;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Relay/DomainRecoveryMonitor.cpp
+++ b/Zincstep/Relay/DomainRecoveryMonitor.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// Between questions to one domain: a cut's end is found within that and a
-/// tick, at some three probes a question.
-constexpr Micros kQuestionPause = 500ms;
-/// Fewer suspects are single upstreams that have crashed.
-constexpr std::size_t kFewestSuspects = 3;
-/// Share of a domain's upstreams from which on the domain itself may be cut
-/// off: only those that requests tried are under suspicion.
+/// Interval between probes of one domain, which bounds the time to detect the
+/// end of a partition. Costs up to three attempts per probe.
+constexpr Micros kDomainProbeInterval = 500ms;
+/// Fewer suspects are treated as crashes of single upstreams.
+constexpr std::size_t kMinSuspects = 3;
+/// Share of suspects in a domain at which the domain may be partitioned. It is
+/// low, as only the upstreams that requests tried become suspect.
 constexpr double kLostShare = 0.25;
 
 }  // namespace
@@ -28,42 +28,45 @@
     std::copy_if(
         all.begin(), all.end(), std::back_inserter(members.suspects),
         [now](const UpstreamPtr& aOne) { return aOne->IsSuspect(now); });
-    const bool isLost = members.suspects.size() >= kFewestSuspects &&
+    const bool isLost = members.suspects.size() >= kMinSuspects &&
                         static_cast<double>(members.suspects.size()) >=
                             kLostShare * static_cast<double>(members.all);
     if (!isLost) {
-      this->questions.erase(domain);
+      this->lastProbes.erase(domain);
       continue;
     }
-    Question& question = this->questions[domain];
-    if (question.asked && question.asked->LastResponseAt() >= question.at) {
-      this->TakeBack(domain, members);
-      this->questions.erase(domain);
-    } else if (!question.asked || now - question.at >= kQuestionPause) {
-      this->Ask(question, members);
+    LastProbe& lastProbe = this->lastProbes[domain];
+    if (lastProbe.upstream &&
+        lastProbe.upstream->LastResponseAt() >= lastProbe.sentAt) {
+      this->ClearSuspicions(domain, members);
+      this->lastProbes.erase(domain);
+    } else if (!lastProbe.upstream ||
+               now - lastProbe.sentAt >= kDomainProbeInterval) {
+      this->ProbeSuspect(lastProbe, members);
     }
   }
 }
 
-void DomainRecoveryMonitor::Ask(Question& aQuestion, const Members& aMembers) {
-  // Another one than last time, which may be dead.
+void DomainRecoveryMonitor::ProbeSuspect(LastProbe& aLastProbe,
+                                         const Members& aMembers) {
+  // Not the same one as last time, as that may have crashed.
   const std::size_t count = aMembers.suspects.size();
   const std::size_t pick = this->random.Below(count);
-  aQuestion.asked = aMembers.suspects[pick] == aQuestion.asked
-                        ? aMembers.suspects[(pick + 1) % count]
-                        : aMembers.suspects[pick];
-  aQuestion.at = this->clock.Now();
-  this->probe.Verify(aQuestion.asked);
+  aLastProbe.upstream = aMembers.suspects[pick] == aLastProbe.upstream
+                            ? aMembers.suspects[(pick + 1) % count]
+                            : aMembers.suspects[pick];
+  aLastProbe.sentAt = this->clock.Now();
+  this->prober.Verify(aLastProbe.upstream);
 }
 
-void DomainRecoveryMonitor::TakeBack(const std::string& aDomain,
-                                     const Members& aMembers) {
+void DomainRecoveryMonitor::ClearSuspicions(const std::string& aDomain,
+                                            const Members& aMembers) {
   LogInfo("domain_answers_again", {{"failure_domain", aDomain},
                                    {"suspects", aMembers.suspects.size()},
                                    {"members", aMembers.all}});
   for (const UpstreamPtr& upstream : aMembers.suspects) {
     upstream->ClearSuspicion();
-    this->probe.Verify(upstream);
+    this->prober.Verify(upstream);
   }
 }
 
--- a/Zincstep/Relay/DomainRecoveryMonitor.h
+++ b/Zincstep/Relay/DomainRecoveryMonitor.h
@@ -7,28 +7,29 @@
 
 namespace zincstep {
 
-/// Finds out that a failure domain that was cut off can be reached again.
+/// Detects that a partitioned failure domain can be reached again.
 ///
-/// While a domain is cut off, each of its upstreams that a request tries comes
-/// under suspicion, for longer each time. When the cut ends nobody would try
-/// them for up to 16 s, and a daemon whose own domain is not whole yet has no
-/// chain at all. So one of them is asked now and then, and once it answers
-/// the suspicions of the whole domain are taken back; who is dead for other
-/// reasons is found again by its silence.
+/// While a domain is partitioned, each upstream of it that a request tries
+/// becomes suspect, for a longer time on each failure. After the partition
+/// heals, none of them would be tried for up to 16 s, and a daemon whose own
+/// domain lacks upstreams for some layers would have no chain at all. So the
+/// monitor probes one suspect periodically and, once it responds, clears the
+/// suspicions of the whole domain. Upstreams that are down for other reasons
+/// become suspect again when they do not respond.
 class DomainRecoveryMonitor {
  public:
-  DomainRecoveryMonitor(UpstreamProber& aProbe, const Clock& aClock,
+  DomainRecoveryMonitor(UpstreamProber& aProber, const Clock& aClock,
                         Random& aRandom)
-      : probe(aProbe), clock(aClock), random(aRandom) {}
+      : prober(aProber), clock(aClock), random(aRandom) {}
 
-  /// Asks and takes back where it is time; to be called several times a second.
+  /// Sends due probes and clears suspicions; call several times per second.
   void Tick(const UpstreamDirectory& aDirectory);
 
  private:
-  /// The last upstream of a domain that was asked.
-  struct Question {
-    UpstreamPtr asked;
-    Instant at;
+  /// Last probe that was sent to a domain.
+  struct LastProbe {
+    UpstreamPtr upstream;
+    Instant sentAt;
   };
   /// Upstreams of models in one domain.
   struct Members {
@@ -36,13 +37,14 @@
     std::size_t all = 0;
   };
 
-  void TakeBack(const std::string& aDomain, const Members& aMembers);
-  void Ask(Question& aQuestion, const Members& aMembers);
+  void ClearSuspicions(const std::string& aDomain, const Members& aMembers);
+  void ProbeSuspect(LastProbe& aLastProbe, const Members& aMembers);
 
-  UpstreamProber& probe;
+  UpstreamProber& prober;
   const Clock& clock;
   Random& random;
-  std::map<std::string, Question> questions;
+  /// Keyed by failure domain.
+  std::map<std::string, LastProbe> lastProbes;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Relay/EventSplitter.cpp
+++ b/Zincstep/Relay/EventSplitter.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The id of an event, if it has one that is a whole number.
+/// Returns the id of an event if it has a numeric one.
 std::optional<std::uint64_t> IdOf(std::string_view aEvent) {
   constexpr std::string_view kField = "id:";
   std::size_t at = aEvent.starts_with(kField) ? 0 : aEvent.find("\nid:");
@@ -23,7 +23,8 @@
   return read.ec == std::errc{} ? std::optional(id) : std::nullopt;
 }
 
-/// End of the first event in `aBytes`, searched from `aFrom`; npos: none.
+/// Returns the end of the first event in `aBytes`, searching from `aFrom`, or
+/// npos.
 std::size_t EndOfEvent(std::string_view aBytes, std::size_t aFrom) {
   for (std::size_t at = aBytes.find('\n', aFrom); at != std::string_view::npos;
        at = aBytes.find('\n', at + 1)) {
@@ -45,11 +46,11 @@
   this->isResumed = this->lastId.has_value();
 }
 
-void EventSplitter::Pass(std::string_view aEvent, std::string& aOut) {
+void EventSplitter::Forward(std::string_view aEvent, std::string& aOut) {
   const auto id = IdOf(aEvent);
   if (id && this->isResumed) {
     if (*id <= *this->lastId) {
-      return;  // The new run repeats what the caller has.
+      return;  // The caller already has this event.
     }
     if (*id > *this->lastId + 1) {
       this->hasGap = true;
@@ -59,14 +60,14 @@
   if (id) {
     this->lastId = id;
   }
-  this->hasPassed = true;
+  this->hasForwarded = true;
   aOut += aEvent;
 }
 
 std::string EventSplitter::Append(std::string_view aBytes) {
   std::string out;
   std::size_t searched = this->partial.size();
-  // The line break that ends an event may lie on both sides of the seam.
+  // The blank line that ends an event may span the old and the new bytes.
   searched -= std::min<std::size_t>(searched, 2);
   this->partial += aBytes;
   std::string_view rest = this->partial;
@@ -75,7 +76,7 @@
     if (end == std::string_view::npos) {
       break;
     }
-    this->Pass(rest.substr(0, end), out);
+    this->Forward(rest.substr(0, end), out);
     rest.remove_prefix(end);
     searched = 0;
   }
--- a/Zincstep/Relay/EventSplitter.h
+++ b/Zincstep/Relay/EventSplitter.h
@@ -7,36 +7,36 @@
 
 namespace zincstep {
 
-/// Passes on whole events of a stream, each once and in order.
+/// Splits a stream into complete events and forwards each once, in order.
 ///
-/// Reads `text/event-stream` only as far as it must: where an event ends
-/// and what its id is. Bytes of whole events are not changed.
+/// Parses `text/event-stream` only for event boundaries and event ids. The
+/// bytes of an event are forwarded unchanged.
 class EventSplitter {
  public:
-  /// Events with ids up to `aLastId` have been passed on already.
+  /// Events with ids up to `aLastId` are treated as already forwarded.
   explicit EventSplitter(std::optional<std::uint64_t> aLastId)
       : lastId(aLastId) {}
 
-  /// Appends what came; gives the whole events that are to be passed on.
+  /// Appends received bytes; returns the complete events to forward.
   std::string Append(std::string_view aBytes);
-  /// A new run takes over: what is left of an unfinished event goes.
+  /// Starts the stream of a new run; discards the bytes of a partial event.
   void BeginRun();
-  /// Whether bytes of an unfinished event are left.
+  /// Whether bytes of a partial event are buffered.
   bool HasPartial() const { return !this->partial.empty(); }
-  /// Id of the last event that was passed on.
+  /// Id of the last forwarded event.
   std::optional<std::uint64_t> LastId() const { return this->lastId; }
-  /// Whether an event was missing: the stream must not go on.
+  /// Whether the new run skipped an event, so that the stream must not go on.
   bool HasGap() const { return this->hasGap; }
-  /// Whether a whole event was passed on.
-  bool HasPassed() const { return this->hasPassed; }
+  /// Whether any event was forwarded.
+  bool HasForwarded() const { return this->hasForwarded; }
 
  private:
-  void Pass(std::string_view aEvent, std::string& aOut);
+  void Forward(std::string_view aEvent, std::string& aOut);
 
   std::string partial;
   std::optional<std::uint64_t> lastId;
   bool hasGap = false;
-  bool hasPassed = false;
+  bool hasForwarded = false;
   bool isResumed = false;
 };
 
--- a/Zincstep/Relay/Exchange.cpp
+++ b/Zincstep/Relay/Exchange.cpp
@@ -7,21 +7,21 @@
 
 namespace {
 
-/// Callers that are told to come back later than after this share of the time
-/// that they have left do not wait that long (a third, the platform's pages).
-constexpr double kHeededShare = 0.32;
+/// Maximum Retry-After as a share of the caller's time left. Callers ignore a
+/// value above a third of it (the platform's documentation).
+constexpr double kMaxRetryAfterShare = 0.32;
 
-/// Callers that wait for an upstream's next call come back within this share of
-/// the wait behind it.
-constexpr double kReturnSpread = 0.5;
+/// Jitter added to the Retry-After of callers that wait for an upstream's call
+/// limit, as a share of that wait.
+constexpr double kRetryAfterJitter = 0.5;
 
-/// Fields that concern one connection, or that the connection writes.
-constexpr std::array<std::string_view, 9> kHopFields{
+/// Headers of a single connection, or that the connection writes itself.
+constexpr std::array<std::string_view, 9> kHopByHopHeaders{
     "Connection",          "Keep-Alive", "Proxy-Authenticate",
     "Proxy-Authorization", "TE",         "Trailer",
     "Transfer-Encoding",   "Upgrade",    "Content-Length"};
-constexpr int kFirstFailureStatus = 300;
-constexpr int kFirstSuccessStatus = 200;
+constexpr int kMinFailureStatus = 300;
+constexpr int kMinSuccessStatus = 200;
 
 }  // namespace
 
@@ -37,37 +37,37 @@
 
 void Exchange::OnCallerDisconnected() {
   this->CancelCall();
-  this->Finish("caller_gone", "the caller has left");
+  this->Finish("caller_gone", "the caller disconnected");
 }
 
-Micros Exchange::ComeBackAfter(ErrorKind aKind) const {
+Micros Exchange::ComputeRetryAfter(ErrorKind aKind) const {
   const RelaySettings& settings = this->context.settings;
   const std::optional<ModelShape>& model = this->request.service->model;
   Micros after =
       std::min(ErrorInfoFor(aKind).retryAfter, settings.busyRetryAfter);
   if (aKind == ErrorKind::NoCapacity && model) {
     after =
-        FromSeconds(ToSeconds(model->loadTime) * settings.restoredAfterLoads);
+        FromSeconds(ToSeconds(model->loadTime) * settings.noCapacityRetryLoads);
   }
-  // Those that are refused together should not come back together; nobody
-  // should before an upstream may be called again.
+  // Jitter spreads the retries of callers that are refused together. None
+  // should arrive before an upstream's call limit permits a call.
   after = FromSeconds(ToSeconds(after) * (0.5 + this->context.random.Unit()));
-  after = std::max(
-      after, FromSeconds(ToSeconds(this->callWait) *
-                         (1 + kReturnSpread * this->context.random.Unit())));
-  const Micros left = this->request.end - this->Now();
-  return std::clamp(FromSeconds(ToSeconds(left) * kHeededShare), Micros{0},
-                    after);
+  after = std::max(after, FromSeconds(ToSeconds(this->callWait) *
+                                      (1 + kRetryAfterJitter *
+                                               this->context.random.Unit())));
+  const Micros left = this->request.deadline - this->Now();
+  return std::clamp(FromSeconds(ToSeconds(left) * kMaxRetryAfterShare),
+                    Micros{0}, after);
 }
 
 void Exchange::Refuse(ErrorKind aKind, const char* aReason) {
   this->CancelCall();
   const ErrorInfo& answer = ErrorInfoFor(aKind);
-  ZINCSTEP_ASSERT(answer.outcome != Outcome::NotRun || !this->hasBegun);
+  ZINCSTEP_ASSERT(answer.outcome != Outcome::NotRun || !this->mayHaveRun);
   HttpHeaders headers =
-      this->context.dialect.LocalResponseHeaders(this->request.facts.id);
+      this->context.dialect.LocalResponseHeaders(this->request.info.id);
   if (answer.outcome == Outcome::NotRun) {
-    headers.push_back(RetryAfterHeader(this->ComeBackAfter(aKind)));
+    headers.push_back(RetryAfterHeader(this->ComputeRetryAfter(aKind)));
   }
   this->context.metrics.Count("zincstep_refusals_total",
                               {{"kind", std::string(answer.name)}});
@@ -75,22 +75,25 @@
   this->Finish(answer.name.data(), aReason);
 }
 
-void Exchange::PassOn(const HttpHead& aHead, const std::string& aBody) {
-  const bool isSuccess = aHead.status < kFirstFailureStatus;
+void Exchange::ForwardResponse(const HttpHead& aHead,
+                               const std::string& aBody) {
+  const bool isSuccess = aHead.status < kMinFailureStatus;
   if (isSuccess) {
-    this->OnRunWhole();  // A failure may have come before it was run.
+    this->OnRunCompleted();  // A failure may have occurred before the run.
   }
-  this->request.connection->Answer(aHead.status, PassedHeaders(aHead), aBody);
-  this->Finish("answered", isSuccess ? "success" : "the upstream's failure");
+  this->request.connection->Answer(aHead.status, ForwardedHeaders(aHead),
+                                   aBody);
+  this->Finish("answered", isSuccess ? "success" : "the upstream failed");
 }
 
-HttpHeaders Exchange::PassedHeaders(const HttpHead& aHead) {
+HttpHeaders Exchange::ForwardedHeaders(const HttpHead& aHead) {
   HttpHeaders passed;
   for (const HttpHeader& header : aHead.headers) {
-    const bool isHop = std::any_of(kHopFields.begin(), kHopFields.end(),
-                                   [&](std::string_view aName) {
-                                     return SameHeaderName(aName, header.name);
-                                   });
+    const bool isHop =
+        std::any_of(kHopByHopHeaders.begin(), kHopByHopHeaders.end(),
+                    [&](std::string_view aName) {
+                      return SameHeaderName(aName, header.name);
+                    });
     if (!isHop) {
       passed.push_back(header);
     }
@@ -108,7 +111,7 @@
                               {{"outcome", aOutcome}});
   this->context.metrics.Observe("zincstep_request_seconds", ToSeconds(taken));
   LogInfo("request_ended",
-          {{"request", this->request.facts.id},
+          {{"request", this->request.info.id},
            {"route", this->request.route->name},
            {"organisation", this->request.organisation},
            {"outcome", aOutcome},
@@ -116,8 +119,8 @@
            {"upstream", this->upstream ? this->upstream->Entry().id : ""},
            {"sends", this->sends},
            {"runs", this->runs},
-           {"first_event_ms", this->firstEventAfter / 1ms},
-           {"longest_pause_ms", this->longestPause / 1ms},
+           {"first_event_ms", this->firstEventDelay / 1ms},
+           {"longest_pause_ms", this->maxEventGap / 1ms},
            {"taken_ms", taken / 1ms}});
 }
 
@@ -135,7 +138,7 @@
   }
   const ForwardedRequest forwarded{this->request.message,
                                    aUpstream->Entry().id,
-                                   this->request.end - this->sentAt,
+                                   this->request.deadline - this->sentAt,
                                    this->request.organisation,
                                    aLastEventId,
                                    this->request.priority,
@@ -143,23 +146,24 @@
   this->context.limits.OnCall(*aUpstream, UpstreamCall::Request);
   this->call = std::make_shared<SingleCall>(this->context.loop, *this);
   this->call->Start(*endpoint, this->context.dialect.WriteRequest(forwarded),
-                    this->context.settings.connectTimeout, this->Kept());
+                    this->context.settings.connectTimeout,
+                    this->ReusableConnections());
 }
 
-std::optional<PooledConnections> Exchange::Kept() const {
-  // A kept connection may have closed: what was sent on it may have run, and
-  // is not sent again where it must not run twice.
+std::optional<PooledConnections> Exchange::ReusableConnections() const {
+  // If a pooled connection closes during the request, the request may have run
+  // and would have to be sent again. So pooled connections are used only for
+  // requests that may run twice.
   const Route& route = *this->request.route;
   const bool mayRunAgain =
       route.kind == RouteKind::Safe ||
       (route.kind == RouteKind::Streaming && route.isResumable);
-  // All kept connections may be silent, and attempts are few: with kept ones
-  // for each of them, a stream never came to its end in 1 of 15 runs under
-  // faults.
+  // All pooled connections may be dead, and attempts are limited. When every
+  // attempt used one, a stream never completed in 1 of 15 runs with faults.
   const bool isFirst = this->sends <= 1;
   return mayRunAgain && isFirst
              ? std::optional(PooledConnections{
-                   &this->context.kept,
+                   &this->context.connections,
                    this->upstream->Entry().Incarnation().Text()})
              : std::nullopt;
 }
@@ -167,7 +171,7 @@
 void Exchange::CancelCall() {
   if (this->call) {
     if (this->call->HasSent()) {
-      this->hasBegun = true;
+      this->mayHaveRun = true;
     }
     this->call->Cancel();
     this->call.reset();
@@ -188,51 +192,51 @@
 }
 
 void Exchange::OnRunLost(const char* aReason) {
-  LogInfo("run_lost", {{"request", this->request.facts.id},
+  LogInfo("run_lost", {{"request", this->request.info.id},
                        {"fingerprint", TextOf(this->Fingerprint())},
                        {"upstream", this->upstream->Entry().id},
                        {"reason", aReason},
-                       {"has_events", this->HasRunBegun()},
+                       {"has_events", this->HasResponseBegun()},
                        {"ran_ms", (this->Now() - this->sentAt) / 1ms}});
-  // Of 25 upstreams that ended, 21 had one to four requests in this state, of
-  // up to 82: whoever is guilty is among few.
-  if (!this->HasRunBegun()) {
+  // Of 25 crashed upstreams, 21 had only one to four requests, of up to 82, in
+  // this state; so the request that caused the crash is among few.
+  if (!this->HasResponseBegun()) {
     this->context.crashDetector.OnRunLost(this->Fingerprint(), this->upstream);
   }
 }
 
-void Exchange::OnRefused(const ResponseInfo& aFacts, int aStatus) {
-  const bool isSucceeded = !aFacts.answeredBy.empty() &&
-                           aFacts.answeredBy != this->upstream->Entry().id;
+void Exchange::OnRefused(const ResponseInfo& aInfo, int aStatus) {
+  const bool isReplaced = !aInfo.answeredBy.empty() &&
+                          aInfo.answeredBy != this->upstream->Entry().id;
   LogInfo("upstream_refused",
-          {{"request", this->request.facts.id},
+          {{"request", this->request.info.id},
            {"upstream", this->upstream->Entry().id},
            {"status", aStatus},
-           {"at_fault", aFacts.atFault},
-           {"rest_ms", aFacts.notice.backoff.value_or(Micros{0}) / 1ms},
-           {"answered_by", aFacts.answeredBy}});
-  if (isSucceeded) {
+           {"at_fault", aInfo.atFault},
+           {"rest_ms", aInfo.notice.backoff.value_or(Micros{0}) / 1ms},
+           {"answered_by", aInfo.answeredBy}});
+  if (isReplaced) {
     this->upstream->SetEnded(this->Now());
   }
 }
 
-void Exchange::ApplyNotice(const ResponseInfo& aFacts) {
-  // What answers another request may be a surplus answer, and old.
-  if (aFacts.requestId == this->request.facts.id) {
-    this->context.limits.OnNotice(this->upstream, aFacts.notice, this->sentAt);
+void Exchange::ApplyNotice(const ResponseInfo& aInfo) {
+  // A response to another request may be surplus data, and outdated.
+  if (aInfo.requestId == this->request.info.id) {
+    this->context.limits.OnNotice(this->upstream, aInfo.notice, this->sentAt);
   }
 }
 
-void Exchange::OnRunWhole() {
-  this->context.crashDetector.OnAnswered(this->Fingerprint());
+void Exchange::OnRunCompleted() {
+  this->context.crashDetector.OnRequestCompleted(this->Fingerprint());
 }
 
 void Exchange::OnBlocked(RequestFingerprint aRequest) {
-  if (this->isDone || !this->call || this->HasRunBegun() ||
+  if (this->isDone || !this->call || this->HasResponseBegun() ||
       this->Fingerprint() != aRequest) {
     return;
   }
-  this->Abandon("the request ends whoever runs it");
+  this->Abandon("the request crashes upstreams");
 }
 
 void Exchange::Suspect(LiveUpstream& aUpstream) {
@@ -242,7 +246,7 @@
   }
   aUpstream.Suspect(now);
   LogInfo("upstream_suspected", {{"upstream", aUpstream.Entry().id},
-                                 {"request", this->request.facts.id}});
+                                 {"request", this->request.info.id}});
   if (this->context.onSuspicion) {
     this->context.onSuspicion();
   }
@@ -250,54 +254,54 @@
 
 bool Exchange::TryAcquireResend() {
   return this->sends < this->context.settings.maxSends &&
-         this->Now() < this->request.end && !this->IsBlocked();
+         this->Now() < this->request.deadline && !this->IsBlocked();
 }
 
-bool Exchange::TryAcquireRetry(double aKept) {
+bool Exchange::TryAcquireRetry(double aReserved) {
   if (!this->TryAcquireResend()) {
     return false;
   }
   RetryBudget& budget = this->context.BudgetOf(this->request.service->name);
-  const bool isTaken = budget.TryAcquireRetry(aKept);
-  if (!isTaken && !this->wasRetryDenied) {
-    this->wasRetryDenied = true;
+  const bool isAccepted = budget.TryAcquireRetry(aReserved);
+  if (!isAccepted && !this->isRetryDenialLogged) {
+    this->isRetryDenialLogged = true;
     this->context.metrics.Count("zincstep_retries_denied_total");
     LogInfo("retry_denied",
-            {{"request", this->request.facts.id},
+            {{"request", this->request.info.id},
              {"saved", budget.Available()},
              {"most", this->context.settings.retries.capacity}});
   }
-  return isTaken;
+  return isAccepted;
 }
 
-bool Exchange::NoteCallWait(bool aIsFirstOfChain) {
+bool Exchange::UpdateCallWait(bool aIsFirstOfChain) {
   const Instant now = this->Now();
-  bool isHeldBack = false;
-  for (const UpstreamPtr& one :
+  bool isCallLimited = false;
+  for (const UpstreamPtr& candidate :
        this->context.view.Directory().OfService(this->request.service->name)) {
-    const Micros wait = one->CallWait(now);
-    const bool fits = !aIsFirstOfChain || one->Entry().layers.first == 0;
-    if (wait == Micros{0} || !fits || !one->IsUsable(now)) {
+    const Micros wait = candidate->CallWait(now);
+    const bool fits = !aIsFirstOfChain || candidate->Entry().layers.first == 0;
+    if (wait == Micros{0} || !fits || !candidate->IsUsable(now)) {
       continue;
     }
-    this->callWait = isHeldBack ? std::min(this->callWait, wait) : wait;
-    isHeldBack = true;
+    this->callWait = isCallLimited ? std::min(this->callWait, wait) : wait;
+    isCallLimited = true;
   }
-  return isHeldBack;
+  return isCallLimited;
 }
 
-bool Exchange::AwaitsFirstList() const {
+bool Exchange::IsAwaitingUpstreams() const {
   return !this->context.view.KnowsUpstreams() &&
          this->Now() - this->request.message.readAt <
              this->context.settings.initialStateTimeout;
 }
 
-bool Exchange::IsForeign(const HttpHead& aHead,
-                         const ResponseInfo& aFacts) const {
+bool Exchange::IsInvalidResponse(const HttpHead& aHead,
+                                 const ResponseInfo& aInfo) const {
   const bool isSuccess =
-      aHead.status >= kFirstSuccessStatus && aHead.status < kFirstFailureStatus;
-  return aFacts.requestId != this->request.facts.id || aFacts.isEncoded ||
-         (isSuccess && !aFacts.isSealed);
+      aHead.status >= kMinSuccessStatus && aHead.status < kMinFailureStatus;
+  return aInfo.requestId != this->request.info.id || aInfo.isEncoded ||
+         (isSuccess && !aInfo.isSealed);
 }
 
 }  // namespace zincstep
--- a/Zincstep/Relay/Exchange.h
+++ b/Zincstep/Relay/Exchange.h
@@ -8,135 +8,138 @@
 
 namespace zincstep {
 
-/// A request that was found proper: route, service, owner and times.
+/// A request that passed admission, with its route, service and deadline.
 struct AdmittedRequest {
   std::shared_ptr<CallerConnection> connection;
   CallerMessage message;
-  RelayRequest facts;
-  /// Keeps what the pointers below point into.
+  RelayRequest info;
+  /// Owns the targets of `route` and `service`.
   std::shared_ptr<const RouteTable> table;
   const Route* route = nullptr;
   const RoutedService* service = nullptr;
   std::string organisation;
   int priority = 0;
-  /// When it must have its final answer.
-  Instant end;
+  /// Deadline of the final response.
+  Instant deadline;
 
-  /// What makes this attempt and others the same request.
+  /// Identifies the request; equal for all attempts of a caller at it.
   RequestIdentity Identity() const {
-    return {this->message.head.method, this->facts.host,
+    return {this->message.head.method, this->info.host,
             this->message.head.target, this->organisation, this->message.body};
   }
 };
 
-/// One request from its admission to its final answer.
+/// Handles one request from its admission to its final response.
 ///
-/// Knows at each moment what may be said of the request: it is sent to
-/// upstreams by the subclasses, and `hasBegun` tells whether any of them
-/// may have run it. Every end goes through `Finish`.
+/// Subclasses send the request to upstreams. `mayHaveRun` records whether any
+/// of them may have run it, which decides the error that the caller gets.
+/// Every exchange ends through `Finish`.
 class Exchange : public SingleCallListener,
                  public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(RelayContext& aContext, AdmittedRequest aRequest);
 
-  /// Sends the request, or refuses it.
+  /// Sends the request to an upstream, or refuses it.
   virtual void Start() = 0;
-  /// Looks at limits of time; to be called several times a second.
+  /// Checks timeouts; call several times per second.
   virtual void OnTick(Instant aNow) = 0;
-  /// The caller has left: all work for it ends.
+  /// Cancels all work for a caller that closed its connection.
   virtual void OnCallerDisconnected();
-  /// An upstream has reported on the requests that stand still there.
+  /// Receives an upstream's report of its stalled requests.
   virtual void OnReport(const UpstreamPtr&, const Result<UpstreamReport>&) {}
-  /// An upstream whose report is wanted, or null.
-  virtual UpstreamPtr WantsReport(Instant) { return nullptr; }
+  /// Returns the upstream whose report this exchange needs, or null.
+  virtual UpstreamPtr UpstreamToQuery(Instant) { return nullptr; }
 
-  /// A request has been found to end whoever runs it: this one ends, if it is
-  /// the same and no event of its present run has come.
+  /// Abandons this exchange if it runs the blocked request and nothing of the
+  /// current run's response has arrived.
   void OnBlocked(RequestFingerprint aRequest);
 
   bool IsDone() const { return this->isDone; }
   const AdmittedRequest& Request() const { return this->request; }
 
  protected:
-  /// Answers with an error of our own; ends the exchange.
+  /// Responds with an error of this daemon; ends the exchange.
   void Refuse(ErrorKind aKind, const char* aReason);
-  /// Passes an upstream's whole answer on; ends the exchange.
-  void PassOn(const HttpHead& aHead, const std::string& aBody);
-  /// Ends the exchange; nothing is sent.
+  /// Forwards a complete response of an upstream; ends the exchange.
+  void ForwardResponse(const HttpHead& aHead, const std::string& aBody);
+  /// Ends the exchange without sending anything to the caller.
   void Finish(const char* aOutcome, const char* aReason);
-  /// Connects and sends; `aUpstream` is where it goes.
+  /// Sends the request to `aUpstream`. Sets `call`, unless the address is
+  /// invalid.
   void Send(const UpstreamPtr& aUpstream, const PoolChain* aChain,
             std::optional<std::uint64_t> aLastEventId);
-  /// The kept connections that the request may use; none where it must not be
-  /// sent twice.
-  std::optional<PooledConnections> Kept() const;
-  /// Ends the present call, if any.
+  /// Pooled connections that the request may use; empty if the request must
+  /// not be sent twice.
+  std::optional<PooledConnections> ReusableConnections() const;
+  /// Cancels the current call, if any.
   void CancelCall();
-  /// Whether any of the present run's answer has come: who crashes an upstream
-  /// does so before.
-  virtual bool HasRunBegun() const = 0;
-  /// Ends the exchange and the run that is open, as one that may have run.
+  /// Whether any of the current run's response has arrived. A request that
+  /// crashes its upstream does so before that.
+  virtual bool HasResponseBegun() const = 0;
+  /// Ends the exchange and cancels the current run, which may have begun.
   virtual void Abandon(const char* aReason) = 0;
-  /// The present run ends without its whole answer.
+  /// Records that the current run ended without a complete response.
   void OnRunLost(const char* aReason);
-  /// The upstream has refused the request; where another one answers at its
-  /// address, it has ended.
-  void OnRefused(const ResponseInfo& aFacts, int aStatus);
-  /// Takes what the head of an answer says of the upstream.
-  void ApplyNotice(const ResponseInfo& aFacts);
-  /// A run has ended with its whole answer, a success.
-  void OnRunWhole();
-  /// What the request is, whichever attempt.
+  /// Records that the upstream refused the request. Marks the upstream as ended
+  /// if another incarnation responded at its address.
+  void OnRefused(const ResponseInfo& aInfo, int aStatus);
+  /// Applies the call limits that a response head names for the upstream.
+  void ApplyNotice(const ResponseInfo& aInfo);
+  /// Records that a run completed successfully.
+  void OnRunCompleted();
+  /// Fingerprint of the request; the same for all attempts at it.
   RequestFingerprint Fingerprint();
-  /// Whether it ends whoever runs it.
+  /// Whether the request is blocked because it crashes upstreams.
   bool IsBlocked();
-  /// There is evidence that an upstream does not answer.
+  /// Marks an upstream as suspect, as it did not respond.
   void Suspect(LiveUpstream& aUpstream);
-  /// Whether another send is allowed by count and budget; `aKept` is the
-  /// share of the budget that it may not use.
-  bool TryAcquireRetry(double aKept);
-  /// Whether one is allowed after a connection that did not come up. The
-  /// upstream got nothing, so that the budget is not touched.
+  /// Acquires a retry if the send count and the retry budget permit it;
+  /// `aReserved` is the share of the budget that this retry may not use.
+  bool TryAcquireRetry(double aReserved);
+  /// Whether the request may be sent again after a failed connection attempt.
+  /// Spends no retry budget, as the upstream received nothing.
   bool TryAcquireResend();
-  /// Notes that the request would go to one of the service's upstreams if they
-  /// took another call now. False: there is none of them.
-  bool NoteCallWait(bool aIsFirstOfChain);
-  /// Whether this daemon has just started and is about to hear of upstreams.
-  bool AwaitsFirstList() const;
-  /// Whether an answer of that kind can only be some other request's, or
-  /// was changed on its way.
-  bool IsForeign(const HttpHead& aHead, const ResponseInfo& aFacts) const;
-  /// Fields of an answer that are the caller's too.
-  static HttpHeaders PassedHeaders(const HttpHead& aHead);
-  /// When the caller should come back: less than it will wait.
-  Micros ComeBackAfter(ErrorKind aKind) const;
+  /// Sets `callWait` to the shortest wait among the service's upstreams that
+  /// only their call limit excludes. Returns false if there are none.
+  bool UpdateCallWait(bool aIsFirstOfChain);
+  /// Whether this daemon just started and its list of upstreams is still due.
+  bool IsAwaitingUpstreams() const;
+  /// Whether a response belongs to another request, or was modified in
+  /// transit.
+  bool IsInvalidResponse(const HttpHead& aHead,
+                         const ResponseInfo& aInfo) const;
+  /// Response headers that are forwarded to the caller.
+  static HttpHeaders ForwardedHeaders(const HttpHead& aHead);
+  /// Value of Retry-After; below the time that the caller still waits.
+  Micros ComputeRetryAfter(ErrorKind aKind) const;
   Instant Now() const { return this->context.clock.Now(); }
 
   RelayContext& context;
   AdmittedRequest request;
   std::shared_ptr<SingleCall> call;
-  /// Upstream of the present or last call.
+  /// Upstream of the current or last call.
   UpstreamPtr upstream;
-  /// An upstream may have run the request.
-  bool hasBegun = false;
-  /// Upstreams that may have run it.
+  /// Whether any upstream may have run the request.
+  bool mayHaveRun = false;
+  /// Number of runs that may have begun.
   int runs = 0;
+  /// Number of sends, including those that were refused.
   int sends = 0;
   Instant sentAt;
-  /// Time until an upstream may be called that is held back by its limit alone.
+  /// Shortest wait until the call limit of an otherwise usable upstream permits
+  /// a call.
   Micros callWait{0};
-  /// Time from the request's reading to the first event that was passed on,
-  /// and the longest pause between two since: what makes an answer late.
-  Micros firstEventAfter{0};
-  Micros longestPause{0};
+  /// Time from the reading of the request to the first forwarded event, and the
+  /// maximum gap between two forwarded events since.
+  Micros firstEventDelay{0};
+  Micros maxEventGap{0};
 
  private:
   bool isDone = false;
-  /// Made when it is first asked for, once an answer at the most: it costs some
-  /// microseconds.
+  /// Computed on first use, as it costs some microseconds.
   std::optional<RequestFingerprint> fingerprint;
-  /// The budget had no retry left when this request wanted one; logged once.
-  bool wasRetryDenied = false;
+  /// An exhausted retry budget is logged once per request.
+  bool isRetryDenialLogged = false;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Relay/LivenessCheck.cpp
+++ b/Zincstep/Relay/LivenessCheck.cpp
@@ -2,9 +2,9 @@
 
 namespace zincstep {
 
-void LivenessCheck::Ask(const UpstreamPtr& aUpstream, Micros aTimeout,
-                        Done aDone) {
-  const Instant latest = this->clock.Now() + aTimeout + this->lateness;
+void LivenessCheck::RequestReport(const UpstreamPtr& aUpstream, Micros aTimeout,
+                                  Callback aDone) {
+  const Instant latest = this->clock.Now() + aTimeout + this->maxLateness;
   this->control.Report(
       aUpstream->Entry(), aTimeout,
       [this, latest,
@@ -16,14 +16,14 @@
         } else if (aReport.error().kind == ErrorKind::ResponseIncomplete) {
           done(Liveness::Dropped, nullptr);
         } else {
-          done(this->SilenceAt(latest), nullptr);
+          done(this->TimeoutResult(latest), nullptr);
         }
       });
 }
 
-void LivenessCheck::Connect(const UpstreamPtr& aUpstream, Micros aTimeout,
-                            Done aDone) {
-  const Instant latest = this->clock.Now() + aTimeout + this->lateness;
+void LivenessCheck::ProbeConnection(const UpstreamPtr& aUpstream,
+                                    Micros aTimeout, Callback aDone) {
+  const Instant latest = this->clock.Now() + aTimeout + this->maxLateness;
   this->control.ProbeConnection(
       aUpstream->Entry(), aTimeout,
       [this, latest, done = std::move(aDone)](Reachability aReachability) {
@@ -38,7 +38,7 @@
             done(Liveness::Ended, nullptr);
             break;
           case Reachability::Silent:
-            done(this->SilenceAt(latest), nullptr);
+            done(this->TimeoutResult(latest), nullptr);
             break;
         }
       });
--- a/Zincstep/Relay/LivenessCheck.h
+++ b/Zincstep/Relay/LivenessCheck.h
@@ -6,55 +6,59 @@
 
 namespace zincstep {
 
-/// What a question to an upstream has shown of the incarnation that was meant.
+/// What a probe has shown about the probed incarnation of an upstream.
 enum class Liveness {
-  /// It has answered a question that was asked under its name.
+  /// It returned a report under its own id.
   Alive,
-  /// Nobody accepts connections at its address, or another one answers there.
+  /// Its address refuses connections, or another incarnation responds there.
   Ended,
-  /// A connection came up and was closed without an answer. One may be reset
-  /// with all others of a link; several in a row are an end.
+  /// A connection was established and closed without a response. A link
+  /// failure may reset one with all others; several in a row are a crash.
   Dropped,
-  /// No answer of its own has come in time. A packet may be lost; several in a
-  /// row are an end.
-  Silent,
-  /// Neither: somebody holds a connection open, which proxies and kernels do
-  /// too, or this daemon was too busy to notice the time-out when it was due.
+  /// No response in time. A packet may be lost; several timeouts in a row are
+  /// a crash.
+  TimedOut,
+  /// Inconclusive: a connection stayed open, which proxies and kernels also
+  /// do, or this daemon was too busy to notice the timeout when it was due.
   Unknown,
 };
 
-/// Asks upstreams whether they live, and says what each answer proves.
+/// Probes upstreams and classifies what each result shows.
 ///
-/// Keeps no state: who asks decides how often, and what to believe.
+/// Stateless: the caller decides how often to probe and how to combine results.
 class LivenessCheck {
  public:
-  /// The report comes with `Alive` where one was asked for, else null.
-  using Done = std::function<void(Liveness, const UpstreamReport*)>;
+  /// The report is set if the result is `Alive` of `RequestReport`, else null.
+  using Callback = std::function<void(Liveness, const UpstreamReport*)>;
 
-  /// A time-out that is noticed later than by `aLateness` proves nothing.
+  /// A timeout noticed more than `aMaxLateness` late counts as `Unknown`.
   LivenessCheck(UpstreamControl& aControl, const Clock& aClock,
-                Micros aLateness)
-      : control(aControl), clock(aClock), lateness(aLateness) {}
+                Micros aMaxLateness)
+      : control(aControl), clock(aClock), maxLateness(aMaxLateness) {}
 
-  /// Whether an upstream gives reports, and takes a call now.
-  bool MayAsk(const LiveUpstream& aUpstream) const {
+  /// Whether the upstream supports reports and its call limit permits one now.
+  bool CanProbe(const LiveUpstream& aUpstream) const {
     return aUpstream.Entry().IsOfModel() &&
            aUpstream.MayCall(this->clock.Now());
   }
-  /// Asks for a report, which alone shows life.
-  void Ask(const UpstreamPtr& aUpstream, Micros aTimeout, Done aDone);
-  /// Watches a connection for as long, without a request; shows ends only.
-  void Connect(const UpstreamPtr& aUpstream, Micros aTimeout, Done aDone);
+  /// Requests a report; the only probe that can show `Alive`.
+  void RequestReport(const UpstreamPtr& aUpstream, Micros aTimeout,
+                     Callback aDone);
+  /// Opens a connection and observes it until `aTimeout`, without a request.
+  /// Never shows `Alive`.
+  void ProbeConnection(const UpstreamPtr& aUpstream, Micros aTimeout,
+                       Callback aDone);
 
  private:
-  /// No answer came until now, of a question that had time until `aLatest`.
-  Liveness SilenceAt(Instant aLatest) const {
-    return this->clock.Now() > aLatest ? Liveness::Unknown : Liveness::Silent;
+  /// Result of a probe without response whose timeout had to be noticed by
+  /// `aLatest`.
+  Liveness TimeoutResult(Instant aLatest) const {
+    return this->clock.Now() > aLatest ? Liveness::Unknown : Liveness::TimedOut;
   }
 
   UpstreamControl& control;
   const Clock& clock;
-  Micros lateness;
+  Micros maxLateness;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Relay/Relay.cpp
+++ b/Zincstep/Relay/Relay.cpp
@@ -9,20 +9,21 @@
 
 namespace {
 
-/// With an older proof than this, a route or a key that is unknown here may
-/// be one that has just been added; so the caller is sent elsewhere.
-constexpr Micros kSureRefusalAge = 2s;
-/// Time that a request gets whose caller does not say how long it waits.
-constexpr Micros kDefaultPatience = 30s;
+/// Maximum validation age at which an unknown route or key is refused for good.
+/// With an older one it may have just been added, so the caller is asked to
+/// retry.
+constexpr Micros kMaxRefusalValidationAge = 2s;
+/// Timeout of a request whose caller gives none.
+constexpr Micros kDefaultTimeout = 30s;
 
 }  // namespace
 
 Result<void> Relay::CheckKey(AdmittedRequest& aRequest) const {
   const RouteTable& table = *aRequest.table;
   const auto age = this->context.view.ValidationAge();
-  const bool isSure = age && *age <= kSureRefusalAge;
+  const bool isCurrent = age && *age <= kMaxRefusalValidationAge;
   const RoutedOrganisation* organisation =
-      table.FindOrganisation(aRequest.facts.apiKey);
+      table.FindOrganisation(aRequest.info.apiKey);
   if (organisation != nullptr) {
     aRequest.organisation = organisation->name;
     aRequest.priority = organisation->priority.value_or(aRequest.priority);
@@ -31,13 +32,14 @@
     return {};
   }
   if (organisation == nullptr) {
-    return isSure || aRequest.facts.apiKey.empty()
-               ? Fail(ErrorKind::Unauthenticated, "no such key")
-               : Fail(ErrorKind::NotReady, "unknown key, old configuration");
+    return isCurrent || aRequest.info.apiKey.empty()
+               ? Fail(ErrorKind::Unauthenticated, "unknown key")
+               : Fail(ErrorKind::NotReady,
+                      "unknown key, configuration may be outdated");
   }
   const bool isFresh = age && *age <= this->context.settings.maxValidationAge;
   if (this->context.settings.failsClosed && !isFresh) {
-    return Fail(ErrorKind::NotReady, "no proof that the key still holds");
+    return Fail(ErrorKind::NotReady, "the key is not validated");
   }
   return {};
 }
@@ -53,7 +55,7 @@
     return {};
   }
   return tl::unexpected(Error{ErrorKind::RequestBlocked,
-                              "upstreams ended under " + TextOf(request),
+                              "upstreams crashed under " + TextOf(request),
                               blocked});
 }
 
@@ -62,19 +64,20 @@
     CallerMessage aMessage) const {
   AdmittedRequest request;
   request.connection = aConnection;
-  request.facts = this->context.dialect.ReadRequest(aMessage.head);
+  request.info = this->context.dialect.ReadRequest(aMessage.head);
   request.message = std::move(aMessage);
   request.table = this->context.view.Table();
   if (!request.table) {
-    return Fail(ErrorKind::NotReady, "no configuration yet");
+    return Fail(ErrorKind::NotReady, "no configuration received yet");
   }
   request.route =
-      request.table->FindRoute(request.facts.host, request.message.head.target);
+      request.table->FindRoute(request.info.host, request.message.head.target);
   if (request.route == nullptr) {
     const auto age = this->context.view.ValidationAge();
-    return age && *age <= kSureRefusalAge
-               ? Fail(ErrorKind::UnknownRoute, "no route")
-               : Fail(ErrorKind::NotReady, "no route, old configuration");
+    return age && *age <= kMaxRefusalValidationAge
+               ? Fail(ErrorKind::UnknownRoute, "unknown route")
+               : Fail(ErrorKind::NotReady,
+                      "unknown route, configuration may be outdated");
   }
   request.priority = request.route->priority;
   const Result<void> key = this->CheckKey(request);
@@ -88,15 +91,17 @@
   request.service =
       request.table->Choose(*request.route, this->context.random.Unit());
   if (request.service == nullptr) {
-    return Fail(ErrorKind::NoCapacity, "the route's service is not declared");
+    return Fail(ErrorKind::NoCapacity,
+                "the service of the route is not declared");
   }
   const bool isStream = request.service->model.has_value();
-  if (!this->context.stop.Takes(isStream, request.message.readAt)) {
-    return Fail(ErrorKind::Stopping, "the request could not end in time");
+  if (!this->context.stopPolicy.Accepts(isStream, request.message.readAt)) {
+    return Fail(ErrorKind::Stopping,
+                "the request could not complete before the stop");
   }
-  const Micros patience = request.facts.patience.value_or(kDefaultPatience);
-  request.end =
-      request.message.readAt + std::min(patience, request.route->timeout);
+  const Micros timeout = request.info.timeout.value_or(kDefaultTimeout);
+  request.deadline =
+      request.message.readAt + std::min(timeout, request.route->timeout);
   return request;
 }
 
@@ -105,13 +110,13 @@
   const Micros waited = this->context.clock.Now() - aMessage.readAt;
   if (!this->context.view.Table() &&
       waited < this->context.settings.initialStateTimeout) {
-    this->early.push_back({aConnection, std::move(aMessage)});
+    this->deferred.push_back({aConnection, std::move(aMessage)});
     return;
   }
   const std::string id = this->context.dialect.ReadRequest(aMessage.head).id;
   auto admitted = this->Admit(aConnection, std::move(aMessage));
   if (!admitted) {
-    this->RefuseAtOnce(*aConnection, id, admitted.error());
+    this->RefuseUnadmitted(*aConnection, id, admitted.error());
     return;
   }
   std::shared_ptr<Exchange> exchange;
@@ -128,8 +133,8 @@
   exchange->Start();
 }
 
-void Relay::RefuseAtOnce(CallerConnection& aConnection, const std::string& aId,
-                         const Error& aError) {
+void Relay::RefuseUnadmitted(CallerConnection& aConnection,
+                             const std::string& aId, const Error& aError) {
   const ErrorInfo& answer = ErrorInfoFor(aError.kind);
   HttpHeaders headers = this->context.dialect.LocalResponseHeaders(aId);
   const Micros after = aError.retryAfter.value_or(
@@ -149,22 +154,22 @@
   aConnection.Answer(answer.status, headers, answer.name);
 }
 
-void Relay::TakeEarly(Instant aNow) {
+void Relay::ProcessDeferred(Instant aNow) {
   const bool isConfigured = this->context.view.Table() != nullptr;
-  std::vector<EarlyRequest> waiting;
-  waiting.swap(this->early);
-  for (EarlyRequest& one : waiting) {
+  std::vector<DeferredRequest> waiting;
+  waiting.swap(this->deferred);
+  for (DeferredRequest& one : waiting) {
     const Micros waited = aNow - one.message.readAt;
     if (isConfigured || waited >= this->context.settings.initialStateTimeout) {
       this->OnRequest(one.connection, std::move(one.message));
     } else {
-      this->early.push_back(std::move(one));
+      this->deferred.push_back(std::move(one));
     }
   }
 }
 
 void Relay::OnCallerDisconnected(CallerConnection& aConnection) {
-  std::erase_if(this->early, [&](const EarlyRequest& aOne) {
+  std::erase_if(this->deferred, [&](const DeferredRequest& aOne) {
     return aOne.connection.get() == &aConnection;
   });
   const auto found = this->exchanges.find(&aConnection);
@@ -186,40 +191,40 @@
 
 void Relay::Tick() {
   const Instant now = this->context.clock.Now();
-  this->TakeEarly(now);
-  // A step may end its exchange; it is erased only after all have stepped.
+  this->ProcessDeferred(now);
+  // `OnTick` may end its exchange; ended ones are erased after the loop.
   for (auto& [connection, exchange] : this->exchanges) {
     exchange->OnTick(now);
   }
-  this->AskReports(now);
-  this->context.probe.Tick();
+  this->QueryStalledUpstreams(now);
+  this->context.prober.Tick();
   this->context.crashDetector.Tick();
   std::erase_if(this->exchanges,
                 [](const auto& aEntry) { return aEntry.second->IsDone(); });
 }
 
 void Relay::ScheduleTick() {
-  if (this->isTickDue) {
+  if (this->isTickScheduled) {
     return;
   }
-  this->isTickDue = true;
+  this->isTickScheduled = true;
   asio::post(this->context.loop, [this] {
-    this->isTickDue = false;
+    this->isTickScheduled = false;
     this->Tick();
   });
 }
 
-void Relay::AskReports(Instant aNow) {
+void Relay::QueryStalledUpstreams(Instant aNow) {
   for (auto& [connection, exchange] : this->exchanges) {
-    const UpstreamPtr upstream = exchange->WantsReport(aNow);
+    const UpstreamPtr upstream = exchange->UpstreamToQuery(aNow);
     if (!upstream || !upstream->MayCall(aNow)) {
       continue;
     }
-    Instant& last = this->asked[upstream->Number()];
-    if (aNow - last < this->context.settings.stallQueryInterval) {
+    Instant& lastQuery = this->lastQueriedAt[upstream->Number()];
+    if (aNow - lastQuery < this->context.settings.stallQueryInterval) {
       continue;
     }
-    last = aNow;
+    lastQuery = aNow;
     this->context.control.Report(
         upstream->Entry(), this->context.settings.reportTimeout,
         [this, upstream](const Result<UpstreamReport>& aReport) {
--- a/Zincstep/Relay/Relay.h
+++ b/Zincstep/Relay/Relay.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// \file
-/// Public header of the relay library: callers' requests on their way to
-/// upstreams, and the answers on their way back.
+/// Public header of the relay library, which forwards callers' requests to
+/// upstreams and their responses back to the callers.
 
 #include <memory>
 #include <unordered_map>
@@ -15,7 +15,7 @@
 
 namespace zincstep {
 
-/// Admits requests and carries them to their final answers.
+/// Admits requests and runs each as an exchange until its final response.
 class Relay final : public CallerHandler {
  public:
   explicit Relay(RelayContext aContext) : context(std::move(aContext)) {}
@@ -23,17 +23,17 @@
   void OnRequest(const std::shared_ptr<CallerConnection>& aConnection,
                  CallerMessage aMessage) override;
   void OnCallerDisconnected(CallerConnection& aConnection) override;
-  /// Looks at all limits of time; to be called many times a second.
+  /// Checks all timeouts; call several times per second.
   void Tick();
 
-  /// Looks at them in the next turn of the loop: a belief has changed.
+  /// Posts a `Tick` to the loop; for changes of the known cluster state.
   void ScheduleTick();
-  /// A request has been found to end whoever runs it: copies of it that are
-  /// on their way end.
+  /// Abandons the exchanges of a request that is blocked because it crashes
+  /// upstreams.
   void OnBlocked(RequestFingerprint aRequest);
-  /// Requests that are not done.
+  /// Number of exchanges and deferred requests that have not ended.
   std::size_t Active() const {
-    return this->exchanges.size() + this->early.size();
+    return this->exchanges.size() + this->deferred.size();
   }
 
  private:
@@ -42,25 +42,25 @@
       CallerMessage aMessage) const;
   Result<void> CheckKey(AdmittedRequest& aRequest) const;
   Result<void> CheckCrashes(const AdmittedRequest& aRequest) const;
-  void RefuseAtOnce(CallerConnection& aConnection, const std::string& aId,
-                    const Error& aError);
-  void AskReports(Instant aNow);
-  /// Requests that came before the first configuration go on, or are refused
-  /// once they have waited for long enough.
-  void TakeEarly(Instant aNow);
+  void RefuseUnadmitted(CallerConnection& aConnection, const std::string& aId,
+                        const Error& aError);
+  void QueryStalledUpstreams(Instant aNow);
+  /// Admits the deferred requests once there is a configuration, or refuses
+  /// them after `RelaySettings::initialStateTimeout`.
+  void ProcessDeferred(Instant aNow);
 
-  /// A request that came before this daemon knew any configuration.
-  struct EarlyRequest {
+  /// A request that arrived before this daemon's first configuration.
+  struct DeferredRequest {
     std::shared_ptr<CallerConnection> connection;
     CallerMessage message;
   };
 
   RelayContext context;
-  std::vector<EarlyRequest> early;
-  bool isTickDue = false;
+  std::vector<DeferredRequest> deferred;
+  bool isTickScheduled = false;
   std::unordered_map<CallerConnection*, std::shared_ptr<Exchange>> exchanges;
-  /// When an upstream was last asked for its stalled requests, by number.
-  std::unordered_map<std::uint64_t, Instant> asked;
+  /// Time of the last query for stalled requests, by `LiveUpstream::Number`.
+  std::unordered_map<std::uint64_t, Instant> lastQueriedAt;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Relay/RelayContext.h
+++ b/Zincstep/Relay/RelayContext.h
@@ -18,62 +18,62 @@
 /// Settings of the relay.
 struct RelaySettings {
   std::string failureDomain;
-  /// Longest age of the proof that keys have not changed; the operators'
-  /// bound less a margin for what is decided between proof and use.
+  /// Maximum age of the validation that keys have not changed: the operators'
+  /// bound less a margin for the time between validation and use.
   Micros maxValidationAge = 4800ms;
-  /// Whether a key is refused without such a proof.
+  /// Whether keys are refused without such a validation.
   bool failsClosed = true;
-  /// Retries of all daemons together, as a share of requests, and beyond.
+  /// Retry budget of each service: a share of the requests plus this daemon's
+  /// part of a burst that all daemons divide among them.
   RetryBudgetSettings retries;
-  /// A connection that is not up by then counts as an upstream's failure:
-  /// round trips take under two milliseconds here, a lost opening packet
-  /// comes again after a second.
+  /// Connect timeout; exceeding it counts as a failure of the upstream. Round
+  /// trips take under 2 ms; a lost SYN is retransmitted only after 1 s.
   Micros connectTimeout = 250ms;
-  /// A stream without its first event for so long is asked after: several
-  /// times the usual time of reading a prompt.
-  Micros firstEventSilence = 400ms;
-  /// The same between events: six times the usual pause.
-  Micros eventSilence = 150ms;
-  /// A stream whose upstream lives, has nobody waiting and does not name it as
-  /// stalled is taken to be on a silent connection after so long: half of the
-  /// time after which callers leave, so that there is as much for a new run.
-  /// Without it such a stream never goes on (0 of 2 in the test, 2 of 2 with
-  /// it).
-  Micros connectionSilence = 1s;
-  /// Pause between questions to one upstream about its stalled requests.
+  /// Time without a first event after which the upstream is queried about the
+  /// stream: several times the usual prompt processing time.
+  Micros firstEventTimeout = 400ms;
+  /// The same between events: six times the usual gap.
+  Micros eventTimeout = 150ms;
+  /// Time without events after which the connection counts as dead although
+  /// the upstream is alive, has no requests queued and does not list the stream
+  /// as stalled. Half of the time after which callers disconnect, which leaves
+  /// the other half for a new run. Without this check such a stream never
+  /// continues (0 of 2 did in the test, 2 of 2 with it).
+  Micros silentConnectionTimeout = 1s;
+  /// Interval between queries to one upstream for its stalled requests.
   Micros stallQueryInterval = 150ms;
   Micros reportTimeout = 300ms;
-  /// Pause between attempts to repair one stream.
-  Micros repairPause = 200ms;
-  /// An upstream that refused is passed over for so long: it may be short of
-  /// memory, or hold other layers than its entry tells.
-  Micros refusalPause = 300ms;
-  /// When those should come back that were refused by a plain service or for a
-  /// belief that is out of date: soon, as both mend by themselves.
+  /// Interval between attempts to repair one stream.
+  Micros repairInterval = 200ms;
+  /// Time for which an upstream that refused is ejected: it may be out of
+  /// memory, or hold other layers than its entry says.
+  Micros refusalBackoff = 300ms;
+  /// Maximum Retry-After of requests that a plain service refused or that were
+  /// refused due to outdated state; short, as both recover by themselves.
   Micros busyRetryAfter = 400ms;
-  /// When those should come back for whom a split model has no room, as a share
-  /// of the time in which all its layers are loaded. Room is short where an
-  /// upstream was lost, and the largest hold a third of the layers; callers
-  /// that come back sooner find it short again (docs/results/decisions.md).
-  double restoredAfterLoads = 0.3;
-  /// How long a request waits for this daemon's first configuration and list of
-  /// upstreams, which come some tenths of a second after its start: refused at
-  /// once, callers came back after seconds, 1,360 of them in the second after
-  /// a loss of power (count of one such day's refusals).
+  /// Retry-After of requests for which a split model has no capacity, as a
+  /// share of the time to load all its layers. Capacity is short after the loss
+  /// of an upstream, and the largest hold a third of the layers; an earlier
+  /// retry finds it short again (docs/results/decisions.md).
+  double noCapacityRetryLoads = 0.3;
+  /// Time that requests wait for the daemon's first configuration and list of
+  /// upstreams, which arrive some tenths of a second after its start. Callers
+  /// that are refused at once retry only seconds later; one power loss had
+  /// 1,360 such refusals within a second.
   Micros initialStateTimeout = 1s;
-  /// Times that one request may be sent, rejections included.
+  /// Maximum number of sends per request, including refused ones.
   int maxSends = 6;
-  /// Share of the retry budget that is kept for streams that have begun: a
-  /// request that has not can come again, a stream cannot.
+  /// Share of the retry budget reserved for streams that have begun. Callers
+  /// can retry a request that has not begun, but not a stream.
   double reservedForStreams = 0.5;
-  /// Bytes that a slow caller may leave untaken before reading stops.
+  /// Bytes buffered for a slow caller at which reading from the upstream stops.
   std::size_t maxPendingBytes = 256 << 10;
 };
 
-/// The field that tells a caller when to come back.
+/// Returns a Retry-After header, in seconds with three decimals.
 HttpHeader RetryAfterHeader(Micros aSpan);
 
-/// What all exchanges of a daemon share.
+/// State shared by all exchanges of a daemon.
 struct RelayContext {
   asio::io_context& loop;
   const RelaySettings& settings;
@@ -83,23 +83,23 @@
   const Clock& clock;
   Random& random;
   Metrics& metrics;
-  UpstreamProber& probe;
-  /// Requests under which upstreams have ended.
+  UpstreamProber& prober;
+  /// Requests under which upstreams crashed.
   CrashTracker& crashes;
   CrashDetector& crashDetector;
-  /// For requests that may run again.
-  ConnectionPool& kept;
-  /// Upstreams that name a limit of calls.
+  /// Pool for requests that may run more than once.
+  ConnectionPool& connections;
+  /// Call limits that upstreams announce.
   CallLimits& limits;
   ChainChooser& chains;
   ServiceChooser& services;
-  /// Of requests to split models.
+  /// Demand of requests to split models.
   DemandMeter& demand;
-  /// By service.
+  /// Keyed by service.
   std::map<std::string, RetryBudget>& budgets;
-  /// Whether new work is taken while the daemon stops.
-  const StopPolicy& stop;
-  /// Called when an upstream has come under suspicion here.
+  /// Decides which new requests are accepted while the daemon stops.
+  const StopPolicy& stopPolicy;
+  /// Called when an exchange marks an upstream as suspect.
   std::function<void()> onSuspicion;
 
   RetryBudget& BudgetOf(const std::string& aService) {
--- a/Zincstep/Relay/RelayDialect.h
+++ b/Zincstep/Relay/RelayDialect.h
@@ -9,37 +9,38 @@
 
 namespace zincstep {
 
-/// Length of a request to a model, in tokens; all zero where not told.
+/// Size of a request to a model, in tokens; zero where the caller gave none.
 struct TokenUse {
   double prompt = 0;
-  /// Most tokens that the answer may have.
+  /// Maximum tokens of the answer.
   double maxOut = 0;
-  /// The caller's guess of the answer's tokens; often far off.
+  /// The caller's estimate of the answer's tokens; often far off.
   double guessedOut = 0;
 };
 
-/// What a caller's head says, beside method, target and what is passed on.
+/// Fields parsed from the head of a caller's request, besides method, target
+/// and the headers that are forwarded.
 struct RelayRequest {
-  /// Names this attempt of the caller; comes back with the answer.
+  /// Id of this attempt; echoed in the response.
   std::string id;
   std::string host;
-  /// Empty where none was presented.
+  /// Empty if the request has no key.
   std::string apiKey;
-  /// How long the caller waits, from when the request was read on.
-  std::optional<Micros> patience;
-  /// Last event of the stream that the caller has, where it resumes one.
+  /// Time that the caller waits, counted from the reading of the request.
+  std::optional<Micros> timeout;
+  /// Last event that the caller has received, if it resumes a stream.
   std::optional<std::uint64_t> lastEventId;
   TokenUse tokens;
 };
 
-/// A caller's request on its way to an upstream.
+/// A request to be encoded for an upstream.
 struct ForwardedRequest {
   const CallerMessage& message;
   /// The only incarnation that may run it.
   std::string upstreamId;
-  /// Time that the upstream may take.
-  Micros patience{};
-  /// Whose key the caller presented; empty where none is asked for.
+  /// Time left until the caller's deadline.
+  Micros timeout{};
+  /// Organisation of the caller's key; empty if there is none.
   std::string organisation;
   std::optional<std::uint64_t> lastEventId;
   /// 0 is the most urgent.
@@ -48,35 +49,37 @@
   const PoolChain* chain = nullptr;
 };
 
-/// What the head of an upstream's answer says.
+/// Fields parsed from the head of an upstream's response.
 struct ResponseInfo {
-  /// The request that it answers.
+  /// Attempt id of the request that the response belongs to.
   std::string requestId;
-  /// The upstream promises that it has not run the request.
+  /// The upstream guarantees that it has not run the request.
   bool isNotRun = false;
-  /// Carries the mark that shows the bytes to be the upstream's own.
+  /// Carries the seal header, which shows that the upstream itself wrote the
+  /// response.
   bool isSealed = false;
-  /// Its body is coded in a way that was not asked for.
+  /// The body has a content encoding that the request did not permit.
   bool isEncoded = false;
-  /// Address of the upstream of the chain that is at fault, if named.
+  /// Address of the member of the chain at fault; empty if not named.
   std::string atFault;
-  /// Id of the upstream that answered, where it tells.
+  /// Id of the incarnation that responded; empty if not given.
   std::string answeredBy;
-  /// Requests waiting at the upstream, where it tells.
+  /// Number of requests queued at the upstream, if given.
   std::optional<double> waiting;
   UpstreamNotice notice;
 };
 
-/// How requests and answers are written; the words of a platform.
+/// Encoding of requests and responses in the HTTP headers of a platform.
 class RelayDialect {
  public:
   virtual ~RelayDialect() = default;
 
   virtual RelayRequest ReadRequest(const HttpHead& aHead) const = 0;
-  /// The request's bytes as they go to the upstream.
+  /// Returns the encoded request, head and body.
   virtual std::string WriteRequest(const ForwardedRequest& aRequest) const = 0;
   virtual ResponseInfo ReadResponse(const HttpHead& aHead) const = 0;
-  /// Fields of an answer of our own to request `aId`.
+  /// Returns the headers of a response that this daemon generates for request
+  /// `aId`.
   virtual HttpHeaders LocalResponseHeaders(const std::string& aId) const = 0;
 };
 
--- a/Zincstep/Relay/ServiceExchange.cpp
+++ b/Zincstep/Relay/ServiceExchange.cpp
@@ -19,31 +19,32 @@
   const UpstreamPtr chosen = this->context.services.Choose(
       upstreams, this->context.settings.failureDomain, this->tried, this->Now(),
       this->context.random);
-  this->isWaiting = !chosen && this->AwaitsFirstList();
+  this->isWaiting = !chosen && this->IsAwaitingUpstreams();
   if (this->isWaiting) {
     return;
   }
   if (!chosen) {
-    this->hasBegun
+    this->mayHaveRun
         ? this->Refuse(ErrorKind::UpstreamFailed, "no other upstream is left")
         : this->RefuseUnsent();
     return;
   }
   this->tried.push_back(chosen);
   this->head = HttpHead{};
-  this->facts = ResponseInfo{};
+  this->responseInfo = ResponseInfo{};
   this->body.clear();
   chosen->localWork += 1;
   this->Send(chosen, nullptr, std::nullopt);
   if (!this->call) {
     this->EndCall();
-    this->OnNotRun("the address is not one");
+    this->OnNotRun("the address is invalid");
   }
 }
 
 void ServiceExchange::RefuseUnsent() {
-  this->NoteCallWait(false)
-      ? this->Refuse(ErrorKind::Overloaded, "the upstreams take no call now")
+  this->UpdateCallWait(false)
+      ? this->Refuse(ErrorKind::Overloaded,
+                     "the call limits of the upstreams are reached")
       : this->Refuse(ErrorKind::NoCapacity, "no upstream is usable");
 }
 
@@ -57,29 +58,29 @@
   if (this->IsDone()) {
     return;
   }
-  if (aNow < this->request.end) {
+  if (aNow < this->request.deadline) {
     if (this->isWaiting) {
       this->TrySend();
     } else if (this->call && this->upstream->HasEnded() &&
-               this->MayRunAgain()) {
-      this->OnStartedAgain();
+               this->CanRunAgain()) {
+      this->OnUpstreamRestarted();
     }
     return;
   }
-  const bool mayRun = this->hasBegun || (this->call && this->call->HasSent());
+  const bool mayRun = this->mayHaveRun || (this->call && this->call->HasSent());
   this->EndCall();
   this->Refuse(mayRun ? ErrorKind::DeadlineDuringRun : ErrorKind::NoCapacity,
-               "no answer in time");
+               "deadline exceeded");
 }
 
-void ServiceExchange::OnStartedAgain() {
-  // Its connection may be silent for good. One that must not run twice waits:
-  // it may have reached the new start.
-  constexpr const char* kReason = "its upstream has started again";
+void ServiceExchange::OnUpstreamRestarted() {
+  // No response may ever arrive on its connection. A request that must not run
+  // twice keeps waiting, as it may have reached the new incarnation.
+  constexpr const char* kReason = "the upstream has restarted";
   this->OnRunLost(kReason);
   this->EndCall();
   this->CancelCall();
-  this->hasBegun = true;
+  this->mayHaveRun = true;
   this->runs += 1;
   this->OnFailure(kReason);
 }
@@ -93,8 +94,8 @@
 
 void ServiceExchange::OnResponseHead(HttpHead aHead) {
   this->head = std::move(aHead);
-  this->facts = this->context.dialect.ReadResponse(this->head);
-  this->ApplyNotice(this->facts);
+  this->responseInfo = this->context.dialect.ReadResponse(this->head);
+  this->ApplyNotice(this->responseInfo);
 }
 
 void ServiceExchange::OnResponseBody(std::string_view aPart) {
@@ -105,11 +106,11 @@
   this->EndCall();
   this->CancelCall();
   this->Refuse(
-      this->hasBegun ? ErrorKind::UpstreamFailed : ErrorKind::RequestBlocked,
+      this->mayHaveRun ? ErrorKind::UpstreamFailed : ErrorKind::RequestBlocked,
       aReason);
 }
 
-bool ServiceExchange::MayRunAgain() const {
+bool ServiceExchange::CanRunAgain() const {
   return this->request.route->kind == RouteKind::Safe &&
          this->runs < this->request.route->maxAttempts;
 }
@@ -125,37 +126,38 @@
     return;
   }
   if (aEnd != SingleCallEnd::Complete ||
-      this->IsForeign(this->head, this->facts)) {
-    this->hasBegun = true;
+      this->IsInvalidResponse(this->head, this->responseInfo)) {
+    this->mayHaveRun = true;
     this->runs += 1;
     const char* reason = aEnd == SingleCallEnd::Complete
-                             ? "not its own answer"
-                             : "the answer broke off";
+                             ? "the response belongs to another request"
+                             : "the response was truncated";
     this->OnRunLost(reason);
     this->OnFailure(reason);
     return;
   }
   this->upstream->OnResponse(now);
-  if (this->facts.waiting) {
-    this->upstream->queuedRequests = *this->facts.waiting;
+  if (this->responseInfo.waiting) {
+    this->upstream->queuedRequests = *this->responseInfo.waiting;
     this->upstream->queueReportedAt = now;
   }
-  if (this->facts.isNotRun) {
-    this->OnRefused(this->facts, this->head.status);
+  if (this->responseInfo.isNotRun) {
+    this->OnRefused(this->responseInfo, this->head.status);
     this->OnNotRun("the upstream refused");
     return;
   }
-  // Not for a refusal: whoever listens at the address by now may have sent it.
-  this->context.crashDetector.OnUpstreamAnswered(*this->upstream, this->sentAt);
-  this->hasBegun = true;
+  // Not for a refusal, which another process at the address may have sent.
+  this->context.crashDetector.OnUpstreamResponded(*this->upstream,
+                                                  this->sentAt);
+  this->mayHaveRun = true;
   this->runs += 1;
   this->context.services.OnResponse(*this->upstream, now - this->sentAt);
-  if (this->head.status >= kFirstServerError && this->MayRunAgain() &&
+  if (this->head.status >= kFirstServerError && this->CanRunAgain() &&
       this->TryAcquireRetry(this->context.settings.reservedForStreams)) {
     this->TrySend();
     return;
   }
-  this->PassOn(this->head, this->body);
+  this->ForwardResponse(this->head, this->body);
 }
 
 void ServiceExchange::OnNotRun(const char* aReason) {
@@ -165,11 +167,11 @@
   }
   const ErrorKind notRun =
       this->IsBlocked() ? ErrorKind::RequestBlocked : ErrorKind::Overloaded;
-  this->Refuse(this->hasBegun ? ErrorKind::UpstreamFailed : notRun, aReason);
+  this->Refuse(this->mayHaveRun ? ErrorKind::UpstreamFailed : notRun, aReason);
 }
 
 void ServiceExchange::OnFailure(const char* aReason) {
-  if (this->MayRunAgain() &&
+  if (this->CanRunAgain() &&
       this->TryAcquireRetry(this->context.settings.reservedForStreams)) {
     this->TrySend();
     return;
--- a/Zincstep/Relay/ServiceExchange.h
+++ b/Zincstep/Relay/ServiceExchange.h
@@ -6,10 +6,10 @@
 
 namespace zincstep {
 
-/// A request to a plain service, answered whole.
+/// Exchange with a plain service.
 ///
-/// The answer is taken whole before it is passed on, so that one that
-/// breaks off can be had from another upstream where that is allowed.
+/// Buffers the complete response before forwarding it, so that a truncated one
+/// can be fetched from another upstream if the route permits it.
 class ServiceExchange final : public Exchange {
  public:
   using Exchange::Exchange;
@@ -23,23 +23,25 @@
   void OnCallEnd(SingleCallEnd aEnd) override;
 
  private:
-  bool HasRunBegun() const override { return !this->facts.requestId.empty(); }
+  bool HasResponseBegun() const override {
+    return !this->responseInfo.requestId.empty();
+  }
   void Abandon(const char* aReason) override;
   void TrySend();
-  /// Refuses a request that no upstream may be sent now.
+  /// Refuses a request for which no upstream can be chosen.
   void RefuseUnsent();
   void EndCall();
-  /// The upstream of the open call is not the start that it was sent to.
-  void OnStartedAgain();
+  /// The upstream of the current call restarted since the request was sent.
+  void OnUpstreamRestarted();
   void OnFailure(const char* aReason);
   void OnNotRun(const char* aReason);
-  bool MayRunAgain() const;
+  bool CanRunAgain() const;
 
   std::vector<UpstreamPtr> tried;
   HttpHead head;
-  ResponseInfo facts;
+  ResponseInfo responseInfo;
   std::string body;
-  /// It waits for the daemon's first list of upstreams.
+  /// Waits for the daemon's first list of upstreams.
   bool isWaiting = false;
 };
 
--- a/Zincstep/Relay/StopPolicy.cpp
+++ b/Zincstep/Relay/StopPolicy.cpp
@@ -2,20 +2,20 @@
 
 namespace zincstep {
 
-bool StopPolicy::Takes(bool aIsStream, Instant aNow) const {
+bool StopPolicy::Accepts(bool aIsStream, Instant aNow) const {
   if (!this->begunAt) {
     return true;
   }
   const Micros needed =
       aIsStream ? this->settings.maxStreamTime : this->settings.maxServiceTime;
   const Instant end =
-      *this->begunAt + this->settings.grace - this->settings.killMargin;
+      *this->begunAt + this->settings.gracePeriod - this->settings.killMargin;
   return aNow + needed <= end;
 }
 
 bool StopPolicy::ShouldCloseIdle(Instant aNow) const {
   return this->begunAt &&
-         aNow - *this->begunAt >= this->settings.balancerNotice;
+         aNow - *this->begunAt >= this->settings.balancerRemovalDelay;
 }
 
 bool StopPolicy::CanExit(std::size_t aActive, Instant aNow) const {
@@ -23,10 +23,10 @@
     return false;
   }
   const Micros stopping = aNow - *this->begunAt;
-  if (stopping >= this->settings.grace - this->settings.killMargin) {
+  if (stopping >= this->settings.gracePeriod - this->settings.killMargin) {
     return true;
   }
-  return aActive == 0 && stopping >= this->settings.balancerNotice;
+  return aActive == 0 && stopping >= this->settings.balancerRemovalDelay;
 }
 
 }  // namespace zincstep
--- a/Zincstep/Relay/StopPolicy.h
+++ b/Zincstep/Relay/StopPolicy.h
@@ -8,36 +8,36 @@
 
 /// Settings of an orderly stop.
 struct StopPolicySettings {
-  /// Time from the order to stop until the process is killed.
-  Micros grace = 8s;
-  /// The balancer asks each second and takes a daemon out after two misses;
-  /// until then new connections still come.
-  Micros balancerNotice = 2600ms;
-  /// Time before the kill at which what still runs is ended.
+  /// Time from the stop signal until the process is killed.
+  Micros gracePeriod = 8s;
+  /// Time until new connections cease: the load balancer checks readiness each
+  /// second and removes a daemon after two failures.
+  Micros balancerRemovalDelay = 2600ms;
+  /// Time before the kill at which running requests are ended.
   Micros killMargin = 500ms;
-  /// Longest time that a stream usually takes: one that is taken later
-  /// would be cut by the kill.
+  /// Usual maximum duration of a stream; the kill would truncate one accepted
+  /// later than this before it.
   Micros maxStreamTime = 5s;
-  /// The same for a request to a plain service.
+  /// Usual maximum duration of a request to a plain service.
   Micros maxServiceTime = 1500ms;
 };
 
-/// Says what a daemon that is told to stop still does.
+/// Decides what a daemon still does after its stop signal.
 ///
-/// It is not ready from the order on, serves what it has taken, and takes
-/// new work only as long as that can end before the kill.
+/// From the signal on the daemon is not ready. It completes the requests that
+/// it accepted, and accepts new ones only while they can end before the kill.
 class StopPolicy {
  public:
   explicit StopPolicy(StopPolicySettings aSettings) : settings(aSettings) {}
 
-  /// The order has come.
+  /// Records the time of the stop signal.
   void Begin(Instant aNow) { this->begunAt = aNow; }
   bool IsStopping() const { return this->begunAt.has_value(); }
-  /// Whether a new stream (else a request to a plain service) is taken.
-  bool Takes(bool aIsStream, Instant aNow) const;
-  /// Whether connections without a request are to be closed.
+  /// Whether to accept a new request: a stream, or one to a plain service.
+  bool Accepts(bool aIsStream, Instant aNow) const;
+  /// Whether to close connections that have no request.
   bool ShouldCloseIdle(Instant aNow) const;
-  /// Whether the process may end, with so many requests still running.
+  /// Whether the process may exit with `aActive` requests still running.
   bool CanExit(std::size_t aActive, Instant aNow) const;
 
  private:
--- a/Zincstep/Relay/StreamExchange.cpp
+++ b/Zincstep/Relay/StreamExchange.cpp
@@ -8,25 +8,28 @@
 
 constexpr int kOk = 200;
 constexpr int kFirstServerError = 500;
-/// A running answer has on average half its length so far, and the mean
-/// length is some way above the callers' guess, which is a median.
-constexpr double kGuessShare = 0.6;
-/// Share of the newest pause in a stream's average.
-constexpr double kPauseShare = 0.1;
-/// An upstream with less of its memory promised than this has room.
-constexpr double kRoomyShare = 0.35;
-/// Callers give a silent stream up after this time at the earliest.
+/// Expected tokens of a running answer as a share of the callers' estimate. On
+/// average it has half its length so far, and the mean length is well above the
+/// estimate, which is a median.
+constexpr double kExpectedOutputShare = 0.6;
+/// Weight of the newest gap in the moving average of a stream.
+constexpr double kEventGapWeight = 0.1;
+/// An upstream with a smaller share of its memory reserved should have had
+/// room; its refusal is recorded.
+constexpr double kLowUsageShare = 0.35;
+/// Callers abandon a stream without events after this time at the earliest.
 constexpr Micros kCallerPatience = 2s;
 
 }  // namespace
 
 StreamExchange::StreamExchange(RelayContext& aContext, AdmittedRequest aRequest)
     : Exchange(aContext, std::move(aRequest)),
-      splitter(this->request.facts.lastEventId) {
-  const TokenUse& use = this->request.facts.tokens;
+      splitter(this->request.info.lastEventId) {
+  const TokenUse& use = this->request.info.tokens;
   const ModelShape& model = *this->request.service->model;
-  const double guess = use.guessedOut > 0 ? use.guessedOut * kGuessShare
-                                          : model.usualAnswer * kGuessShare;
+  const double guess = use.guessedOut > 0
+                           ? use.guessedOut * kExpectedOutputShare
+                           : model.usualAnswer * kExpectedOutputShare;
   const double most = use.maxOut > 0 ? use.maxOut : guess;
   this->tokens =
       (use.prompt > 0 ? use.prompt : model.usualPrompt) + std::min(guess, most);
@@ -73,9 +76,9 @@
   this->chain = std::move(*chosen);
   this->Reserve(this->chain);
   this->head = HttpHead{};
-  this->facts = ResponseInfo{};
+  this->responseInfo = ResponseInfo{};
   this->body.clear();
-  this->isForeign = false;
+  this->isInvalidResponse = false;
   this->hasRunEvents = false;
   this->lastProgress = now;
   this->Send(this->chain.front().upstream, &this->chain,
@@ -91,11 +94,11 @@
     this->isWaiting = true;
     this->waitingSince = now;
   }
-  if (this->AwaitsFirstList()) {
+  if (this->IsAwaitingUpstreams()) {
     return;
   }
-  // A request that has not begun comes back in better time than it would be
-  // served here: waiting even a fifth of the objective cost 0.02 of worth.
+  // A request that has not begun completes sooner by a retry of its caller:
+  // waiting here for even a fifth of the objective cost 0.02 of score.
   if (!this->headSent || now - this->waitingSince >= kCallerPatience) {
     this->Fail("no chain covers all layers with room for the request");
   }
@@ -109,8 +112,9 @@
     this->Finish("cut", aReason);
     return;
   }
-  this->Refuse(this->hasBegun ? ErrorKind::UpstreamFailed : this->NotRunKind(),
-               aReason);
+  this->Refuse(
+      this->mayHaveRun ? ErrorKind::UpstreamFailed : this->NotRunKind(),
+      aReason);
 }
 
 ErrorKind StreamExchange::NotRunKind() {
@@ -120,11 +124,11 @@
   if (!this->context.view.KnowsUpstreams()) {
     return ErrorKind::NotReady;
   }
-  if (this->chain.empty() && this->NoteCallWait(true)) {
+  if (this->chain.empty() && this->UpdateCallWait(true)) {
     return ErrorKind::Overloaded;
   }
-  // With a chain that had room by what is believed here, the belief was wrong,
-  // and is mended within tenths of a second; room itself takes loads to return.
+  // If a chain seemed to have room, the known state was outdated and is updated
+  // within tenths of a second; capacity returns only once layers are loaded.
   return this->chain.empty() ? ErrorKind::NoCapacity : ErrorKind::Overloaded;
 }
 
@@ -136,14 +140,14 @@
 bool StreamExchange::IsStream() const { return this->head.status == kOk; }
 
 void StreamExchange::OnResponseHead(HttpHead aHead) {
-  this->facts = this->context.dialect.ReadResponse(aHead);
-  this->isForeign = this->IsForeign(aHead, this->facts);
+  this->responseInfo = this->context.dialect.ReadResponse(aHead);
+  this->isInvalidResponse = this->IsInvalidResponse(aHead, this->responseInfo);
   this->head = std::move(aHead);
-  this->ApplyNotice(this->facts);
+  this->ApplyNotice(this->responseInfo);
 }
 
 void StreamExchange::OnResponseBody(std::string_view aPart) {
-  if (this->isForeign) {
+  if (this->isInvalidResponse) {
     return;
   }
   if (!this->IsStream()) {
@@ -152,37 +156,37 @@
   }
   const std::string events = this->splitter.Append(aPart);
   this->hasRunEvents = this->hasRunEvents || !events.empty();
-  this->ready += events;
+  this->pendingEvents += events;
 }
 
 void StreamExchange::OnResponsePause() {
-  if (this->ready.empty()) {
+  if (this->pendingEvents.empty()) {
     return;
   }
   const Instant now = this->Now();
   CallerConnection& connection = *this->request.connection;
   if (this->headSent) {
-    const Micros pause = now - this->passedAt;
-    this->longestPause = std::max(this->longestPause, pause);
-    // The first one stands for all that follow until more are known.
-    const double share = this->usualPause > 0 ? kPauseShare : 1;
-    this->usualPause += share * (ToSeconds(pause) - this->usualPause);
+    const Micros pause = now - this->lastForwardedAt;
+    this->maxEventGap = std::max(this->maxEventGap, pause);
+    // The first gap is the initial average.
+    const double share = this->averageEventGap > 0 ? kEventGapWeight : 1;
+    this->averageEventGap += share * (ToSeconds(pause) - this->averageEventGap);
   } else {
     this->headSent = true;
-    this->firstEventAfter = now - this->request.message.readAt;
+    this->firstEventDelay = now - this->request.message.readAt;
     this->context.metrics.Observe("zincstep_first_event_seconds",
-                                  ToSeconds(this->firstEventAfter));
-    connection.BeginChunks(this->head.status, PassedHeaders(this->head));
+                                  ToSeconds(this->firstEventDelay));
+    connection.BeginChunks(this->head.status, ForwardedHeaders(this->head));
     for (const PoolHop& hop : this->chain) {
       hop.upstream->OnAccepted();
     }
   }
-  connection.AppendChunk(this->ready);
-  this->ready.clear();
-  this->passedAt = now;
+  connection.AppendChunk(this->pendingEvents);
+  this->pendingEvents.clear();
+  this->lastForwardedAt = now;
   this->lastProgress = now;
   if (connection.PendingBytes() > this->context.settings.maxPendingBytes) {
-    this->isHeldUp = true;
+    this->isReadingPaused = true;
     this->call->SetReading(false);
   }
 }
@@ -195,64 +199,67 @@
     this->TryAcquireResend() ? this->TryChain() : this->OnNotRun();
     return;
   }
-  const bool isWhole = aEnd == SingleCallEnd::Complete && !this->isForeign;
-  if (isWhole && this->facts.isNotRun) {
+  const bool isComplete =
+      aEnd == SingleCallEnd::Complete && !this->isInvalidResponse;
+  if (isComplete && this->responseInfo.isNotRun) {
     this->upstream->OnResponse(now);
-    this->OnRefused(this->facts, this->head.status);
-    this->Distrust(this->facts.atFault.empty() ? this->upstream->Entry().address
-                                               : this->facts.atFault,
-                   now, false);
+    this->OnRefused(this->responseInfo, this->head.status);
+    this->Exclude(this->responseInfo.atFault.empty()
+                      ? this->upstream->Entry().address
+                      : this->responseInfo.atFault,
+                  now, false);
     this->OnNotRun();
     return;
   }
-  this->hasBegun = true;
+  this->mayHaveRun = true;
   this->runs += 1;
-  if (isWhole && this->IsStream()) {
+  if (isComplete && this->IsStream()) {
     this->EndStream();
-  } else if (isWhole && !this->headSent &&
+  } else if (isComplete && !this->headSent &&
              this->head.status < kFirstServerError) {
     this->Release();
-    this->PassOn(this->head, this->body);
+    this->ForwardResponse(this->head, this->body);
   } else {
-    this->OnRunLost("the stream broke off");
-    this->OnLost("the stream broke off");
+    this->OnRunLost("the stream was truncated");
+    this->OnLost("the stream was truncated");
   }
 }
 
 void StreamExchange::EndStream() {
   if (this->splitter.HasGap() || this->splitter.HasPartial() ||
-      !this->splitter.HasPassed()) {
-    this->OnLost("the stream ended inside an event");
+      !this->splitter.HasForwarded()) {
+    this->OnLost("the stream ended early or skipped an event");
     return;
   }
   this->Release();
-  this->OnRunWhole();
+  this->OnRunCompleted();
   this->context.demand.OnCompleted(this->Now() - this->request.message.readAt);
   this->request.connection->EndChunks();
   this->Finish("answered", this->repairs > 0 ? "repaired" : "success");
 }
 
-void StreamExchange::Distrust(const std::string& aAddress, Instant aNow,
-                              bool aIsDead) {
+void StreamExchange::Exclude(const std::string& aAddress, Instant aNow,
+                             bool aIsDead) {
   for (const PoolHop& hop : this->chain) {
     if (hop.upstream->Entry().address != aAddress) {
       continue;
     }
     if (aIsDead && !hop.upstream->Entry().layers.Covers(hop.layers)) {
-      continue;  // It lives, and holds other layers by now.
+      continue;  // It is alive, but holds other layers now.
     }
     if (aIsDead) {
       this->Suspect(*hop.upstream);
       continue;
     }
-    hop.upstream->EjectUntil(aNow + this->context.settings.refusalPause);
-    // It may be dead rather than full: those before it refuse for it then.
-    // Unasked, one that had gone dark while the store was away was tried again
-    // after each pause, 340 of 661 refused streams of such a day.
-    this->context.probe.Ask(hop.upstream);
+    hop.upstream->EjectUntil(aNow + this->context.settings.refusalBackoff);
+    // It may be down rather than full: then the members before it refuse on its
+    // behalf. Without this probe, an upstream that went down while the store
+    // was unavailable was tried again after each backoff, in 340 of 661 refused
+    // streams of one run.
+    this->context.prober.Probe(hop.upstream);
     const double capacity = ChainChooser::Capacity(
         *this->request.service->model, hop.upstream->Entry());
-    if (hop.upstream->Work() < capacity * kRoomyShare) {
+    if (hop.upstream->Work() < capacity * kLowUsageShare) {
       hop.upstream->OnRefusal(aNow);
     }
   }
@@ -279,21 +286,22 @@
 }
 
 void StreamExchange::OnLost(const char* aReason) {
-  this->upstream->EjectUntil(this->Now() + this->context.settings.refusalPause);
+  this->upstream->EjectUntil(this->Now() +
+                             this->context.settings.refusalBackoff);
   this->Resume(aReason);
 }
 
-bool StreamExchange::MayResume() const {
+bool StreamExchange::CanResume() const {
   return this->request.route->isResumable && !this->splitter.HasGap() &&
          this->runs + (this->call ? 1 : 0) < this->request.route->maxAttempts;
 }
 
 void StreamExchange::Resume(const char* aReason) {
-  const bool mayResume = this->MayResume();
+  const bool mayResume = this->CanResume();
   const bool hasRetry =
       mayResume && this->TryAcquireRetry(this->ReservedBudget());
   if (this->call && !hasRetry) {
-    return;  // What stands still may go on by itself.
+    return;  // A stalled stream may continue by itself.
   }
   if (this->call) {
     this->runs += 1;
@@ -301,13 +309,13 @@
   }
   this->CancelCall();
   this->Release();
-  this->ready.clear();
+  this->pendingEvents.clear();
   if (!mayResume || (!hasRetry && !this->headSent)) {
     this->Fail(aReason);
     return;
   }
   LogInfo("stream_resumed",
-          {{"request", this->request.facts.id},
+          {{"request", this->request.info.id},
            {"reason", aReason},
            {"left", this->upstream->Entry().id},
            {"after_event", this->splitter.LastId().value_or(0)}});
@@ -320,15 +328,16 @@
   if (this->IsDone()) {
     return;
   }
-  if (aNow >= this->request.end) {
+  if (aNow >= this->request.deadline) {
     this->Release();
     if (this->headSent) {
-      this->Fail("no end in time");
+      this->Fail("deadline exceeded during the stream");
       return;
     }
-    const bool mayRun = this->hasBegun || (this->call && this->call->HasSent());
+    const bool mayRun =
+        this->mayHaveRun || (this->call && this->call->HasSent());
     this->Refuse(mayRun ? ErrorKind::DeadlineDuringRun : ErrorKind::NoCapacity,
-                 "no answer in time");
+                 "deadline exceeded");
     return;
   }
   if (this->isWaiting) {
@@ -337,9 +346,9 @@
     this->needsRetry ? this->WaitForChain() : this->TryChain();
     return;
   }
-  if (this->isHeldUp && this->request.connection->PendingBytes() <
-                            this->context.settings.maxPendingBytes / 2) {
-    this->isHeldUp = false;
+  if (this->isReadingPaused && this->request.connection->PendingBytes() <
+                                   this->context.settings.maxPendingBytes / 2) {
+    this->isReadingPaused = false;
     this->lastProgress = aNow;
     this->call->SetReading(true);
   }
--- a/Zincstep/Relay/StreamExchange.h
+++ b/Zincstep/Relay/StreamExchange.h
@@ -8,11 +8,11 @@
 
 namespace zincstep {
 
-/// A request to a split model, answered by a stream of events.
+/// Exchange with a split model, whose response is a stream of events.
 ///
-/// Whole events are passed on as they come. When an upstream behind the
-/// first one is lost, the first is ordered on to another chain; when the
-/// first is lost, a new run goes on behind the last event passed on.
+/// Forwards complete events as they arrive. If a member of the chain behind the
+/// first is lost, reroutes the first upstream to another chain; if the first is
+/// lost, a new run resumes after the last forwarded event.
 class StreamExchange final : public Exchange {
  public:
   StreamExchange(RelayContext& aContext, AdmittedRequest aRequest);
@@ -23,7 +23,7 @@
   void OnCallerDisconnected() override;
   void OnReport(const UpstreamPtr& aUpstream,
                 const Result<UpstreamReport>& aReport) override;
-  UpstreamPtr WantsReport(Instant aNow) override;
+  UpstreamPtr UpstreamToQuery(Instant aNow) override;
 
   void OnResponseHead(HttpHead aHead) override;
   void OnResponseBody(std::string_view aPart) override;
@@ -31,79 +31,80 @@
   void OnCallEnd(SingleCallEnd aEnd) override;
 
  private:
-  bool HasRunBegun() const override { return this->hasRunEvents; }
+  bool HasResponseBegun() const override { return this->hasRunEvents; }
   void Abandon(const char* aReason) override { this->Fail(aReason); }
   void TryChain();
   void WaitForChain();
-  /// A stream that has begun waits for the budget rather than end.
+  /// Waits for the retry budget; for streams that have begun.
   void WaitForRetry();
-  /// Share of the retry budget that this request may not use.
+  /// Share of the retry budget that this exchange may not use.
   double ReservedBudget() const;
   void Reserve(const PoolChain& aChain);
   void Release();
   void EndStream();
   void OnNotRun();
   void OnLost(const char* aReason);
-  /// Whether another upstream may run the rest.
-  bool MayResume() const;
-  /// Goes on with a new run, or ends; a call that is still open stays as it
-  /// is where no new run is allowed.
+  /// Whether another upstream may continue the stream.
+  bool CanResume() const;
+  /// Continues the stream with a new run, or ends the exchange. If no new run
+  /// is permitted, a call that is still open is left running.
   void Resume(const char* aReason);
   void Fail(const char* aReason);
-  /// As what a request is refused that has not run; it decides when the caller
-  /// is asked to come back.
+  /// Error kind for a request that has not run; determines its Retry-After.
   ErrorKind NotRunKind();
   void CheckMembers(Instant aNow);
-  /// Silence after which members are asked whether they live.
-  Micros ProbeSilence() const;
-  /// Asks members whether they live that have given no sign of it lately.
-  void AskMembers(Instant aNow);
+  /// Time without events after which members of the chain are probed.
+  Micros ProbeTimeout() const;
+  /// Probes the members that have not responded lately.
+  void ProbeMembers(Instant aNow);
   void Repair(Instant aNow);
-  /// Whether it is time for another attempt; that time begins anew.
-  bool MayRepair(Instant aNow);
-  /// The chain with its lost or leaving members replaced, if there is one.
+  /// Returns whether a repair may start now; if so, schedules the next.
+  bool TryStartRepair(Instant aNow);
+  /// Returns the chain with its lost or leaving members replaced, if possible.
   std::optional<PoolChain> RepairedChain(Instant aNow);
-  /// Moves a running stream off members that leave or give layers up.
-  void MoveOn(Instant aNow);
+  /// Migrates a running stream off members that leave or release layers.
+  void MigrateChain(Instant aNow);
   void Reroute(const PoolChain& aChain);
-  bool IsLeft(const PoolHop& aHop, Instant aNow) const;
-  /// Leaves out a member that an upstream named; false: no other chain is to
-  /// be tried now.
-  bool Blame(const PoolChain& aChain, const std::string& aAddress);
+  bool IsDeparting(const PoolHop& aHop, Instant aNow) const;
+  /// Excludes the member of a rejected chain that is at fault. Returns false if
+  /// no other chain should be tried now.
+  bool ExcludeRejected(const PoolChain& aChain, const std::string& aAddress);
   void OnRepaired(PoolChain aChain, const Result<OrderOutcome>& aOutcome);
-  void Distrust(const std::string& aAddress, Instant aNow, bool aIsDead);
+  void Exclude(const std::string& aAddress, Instant aNow, bool aIsDead);
   bool IsStream() const;
-  Micros Silence(Instant aNow) const { return aNow - this->lastProgress; }
+  Micros TimeSinceProgress(Instant aNow) const {
+    return aNow - this->lastProgress;
+  }
 
   double tokens = 0;
   EventSplitter splitter;
   PoolChain chain;
   std::vector<std::pair<UpstreamPtr, double>> reserved;
-  /// Members at fault for refused changes of the chain.
-  std::vector<UpstreamPtr> blamed;
+  /// Members at fault for rejected reroutes.
+  std::vector<UpstreamPtr> excluded;
   HttpHead head;
-  ResponseInfo facts;
-  /// Whole events that wait to be passed on together.
-  std::string ready;
-  /// Body of an answer that is no stream.
+  ResponseInfo responseInfo;
+  /// Complete events to be forwarded together.
+  std::string pendingEvents;
+  /// Body of a response that is not a stream.
   std::string body;
-  bool isForeign = false;
+  bool isInvalidResponse = false;
   bool headSent = false;
-  /// Whole events have come in the present run.
+  /// The current run has delivered complete events.
   bool hasRunEvents = false;
   bool isWaiting = false;
-  /// It waits for the retry budget, not only for a chain.
+  /// Waits for the retry budget, not only for a chain.
   bool needsRetry = false;
   bool isRepairing = false;
-  bool isHeldUp = false;
+  bool isReadingPaused = false;
   Instant waitingSince;
   Instant lastProgress;
-  /// When events were last passed on.
-  Instant passedAt;
-  /// The average pause, in seconds.
-  double usualPause = 0;
+  /// Time at which events were last forwarded.
+  Instant lastForwardedAt;
+  /// Moving average of the gap between events, in seconds.
+  double averageEventGap = 0;
   Instant nextRepair;
-  /// Repairs of this stream so far, for its closing log line.
+  /// Number of completed repairs, for the log line at the end.
   int repairs = 0;
 };
 
--- a/Zincstep/Relay/StreamRepair.cpp
+++ b/Zincstep/Relay/StreamRepair.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// How a stream notices that members of its chain are lost, slow or leaving,
-/// and goes on without them.
+/// Detection of lost, slow or leaving members of a stream's chain, and repair
+/// of the chain without them.
 
 #include <algorithm>
 
@@ -10,26 +10,26 @@
 
 namespace {
 
-/// A member under suspicion is left once the stream has stood still for a
-/// few of its usual pauses: a wrong suspicion then does no harm.
-constexpr Micros kMemberSilence = 80ms;
-/// Members are asked whether they live after a silence of so many of the
-/// stream's own pauses, and of this at the least: what stands still must go on
-/// within some 200 ms to be in time, and each question is paid for.
-constexpr double kProbePauses = 2.2;
-constexpr Micros kProbeSilence = 70ms;
-/// A member that is off the list, or gives its layers up, may still serve
-/// what it runs; it is left only after a longer silence.
-constexpr Micros kLeftSilence = 400ms;
-/// A member that leaves serves on for about two seconds; a stream that is
-/// still running there after this is moved on to another.
-constexpr Micros kLeavingTime = 1s;
-/// After a refused chain the same would be refused again for a while, and
-/// each order is paid for.
-constexpr Micros kRefusedRepairPause = 800ms;
-/// Chains that are tried at once when the first upstream names who is at
-/// fault.
-constexpr std::size_t kMostBlamed = 4;
+/// Time without events after which a suspect member is replaced: a few usual
+/// gaps, so that a false suspicion does no harm.
+constexpr Micros kMemberTimeout = 80ms;
+/// Members are probed after this many average event gaps without an event, and
+/// after `kMinProbeTimeout` at the earliest. A stalled stream must continue
+/// within some 200 ms to be in time, but each probe is charged for.
+constexpr double kProbeEventGaps = 2.2;
+constexpr Micros kMinProbeTimeout = 70ms;
+/// A member that is deregistered or releases its layers may still serve its
+/// running requests, so it is replaced only after this time without events.
+constexpr Micros kDepartedTimeout = 400ms;
+/// A leaving member serves for about 2 s more; a stream that still runs there
+/// after this time is migrated.
+constexpr Micros kMaxLeavingTime = 1s;
+/// Backoff after a rejected reroute: the same would be rejected again for a
+/// while, and each order is charged for.
+constexpr Micros kRefusedRepairBackoff = 800ms;
+/// Maximum number of members excluded before the backoff applies. Another chain
+/// is tried at once when the first upstream names the member at fault.
+constexpr std::size_t kMaxExcluded = 4;
 
 bool SameMembers(const PoolChain& aOne, const PoolChain& aOther) {
   return std::equal(aOne.begin(), aOne.end(), aOther.begin(), aOther.end(),
@@ -42,79 +42,85 @@
 }  // namespace
 
 void StreamExchange::CheckMembers(Instant aNow) {
-  if (!this->call || this->isHeldUp) {
+  if (!this->call || this->isReadingPaused) {
     return;
   }
-  if (this->headSent && this->Silence(aNow) >= this->ProbeSilence()) {
-    this->AskMembers(aNow);
+  if (this->headSent && this->TimeSinceProgress(aNow) >= this->ProbeTimeout()) {
+    this->ProbeMembers(aNow);
   }
-  if (this->Silence(aNow) < kMemberSilence) {
-    bool isToLeave = false;
+  if (this->TimeSinceProgress(aNow) < kMemberTimeout) {
+    bool hasDeparting = false;
     for (const PoolHop& hop : this->chain) {
       hop.upstream->OnResponse(this->lastProgress);
-      isToLeave = isToLeave || this->IsLeft(hop, aNow);
+      hasDeparting = hasDeparting || this->IsDeparting(hop, aNow);
     }
-    if (isToLeave && this->headSent) {
-      this->MoveOn(aNow);
+    if (hasDeparting && this->headSent) {
+      this->MigrateChain(aNow);
     }
     return;
   }
   if (this->upstream->HasEnded()) {
-    // Its connection may be silent for good. Waited for, that is a second.
-    this->Resume("the first upstream has started again");
+    // No event may ever arrive on its connection; the timeout for that is 1 s.
+    this->Resume("the first upstream has restarted");
     return;
   }
   if (this->upstream->IsSuspect(aNow)) {
     this->Resume("the first upstream is lost");
     return;
   }
-  const bool mayAsk = this->upstream->MayCall(aNow);
-  if (this->headSent && !mayAsk &&
-      this->Silence(aNow) >= this->context.settings.connectionSilence) {
-    // Nobody can be asked whether it lives: a connection is accepted also for
-    // one that is stopped, and its streams would stand still to their end.
-    this->context.kept.Distrust(this->upstream->Entry().Incarnation().Text());
-    this->Resume("the first upstream says nothing, and takes no question");
+  const bool canCall = this->upstream->MayCall(aNow);
+  if (this->headSent && !canCall &&
+      this->TimeSinceProgress(aNow) >=
+          this->context.settings.silentConnectionTimeout) {
+    // The call limit permits no probe that could show whether it is alive: a
+    // connection is also accepted for a stopped process, on which its streams
+    // would stall until their deadline.
+    this->context.connections.Distrust(
+        this->upstream->Entry().Incarnation().Text());
+    this->Resume("no events, and the first upstream can't be queried");
     return;
   }
-  const bool isLong = this->Silence(aNow) >= kLeftSilence;
+  const bool isOverdue = this->TimeSinceProgress(aNow) >= kDepartedTimeout;
   const bool hasLost = std::any_of(
       this->chain.begin() + 1, this->chain.end(), [&](const PoolHop& aHop) {
-        const bool isLeft = aHop.upstream->IsDeregistered() ||
-                            !aHop.upstream->Entry().layers.Covers(aHop.layers);
+        const bool hasDeparted =
+            aHop.upstream->IsDeregistered() ||
+            !aHop.upstream->Entry().layers.Covers(aHop.layers);
         return aHop.upstream->HasEnded() || aHop.upstream->IsSuspect(aNow) ||
-               (isLong && isLeft);
+               (isOverdue && hasDeparted);
       });
   if (hasLost) {
     this->Repair(aNow);
   }
 }
 
-Micros StreamExchange::ProbeSilence() const {
-  return std::max(kProbeSilence, FromSeconds(kProbePauses * this->usualPause));
+Micros StreamExchange::ProbeTimeout() const {
+  return std::max(kMinProbeTimeout,
+                  FromSeconds(kProbeEventGaps * this->averageEventGap));
 }
 
-void StreamExchange::AskMembers(Instant aNow) {
+void StreamExchange::ProbeMembers(Instant aNow) {
   for (const PoolHop& hop : this->chain) {
-    if (aNow - hop.upstream->LastResponseAt() >= kProbeSilence) {
-      this->context.probe.Ask(hop.upstream);
+    if (aNow - hop.upstream->LastResponseAt() >= kMinProbeTimeout) {
+      this->context.prober.Probe(hop.upstream);
     }
   }
 }
 
-bool StreamExchange::IsLeft(const PoolHop& aHop, Instant aNow) const {
+bool StreamExchange::IsDeparting(const PoolHop& aHop, Instant aNow) const {
   if (aHop.upstream == this->upstream) {
     return false;
   }
-  const bool givesUp = !aHop.upstream->Entry().layers.Covers(aHop.layers);
-  return givesUp || aHop.upstream->IsLeaving(aNow, kLeavingTime);
+  const bool releasesLayers =
+      !aHop.upstream->Entry().layers.Covers(aHop.layers);
+  return releasesLayers || aHop.upstream->IsLeaving(aNow, kMaxLeavingTime);
 }
 
-bool StreamExchange::MayRepair(Instant aNow) {
+bool StreamExchange::TryStartRepair(Instant aNow) {
   if (this->isRepairing || aNow < this->nextRepair) {
     return false;
   }
-  this->nextRepair = aNow + this->context.settings.repairPause;
+  this->nextRepair = aNow + this->context.settings.repairInterval;
   return true;
 }
 
@@ -122,11 +128,11 @@
   return this->context.chains.Repair(
       *this->request.service->model,
       this->context.view.Directory().OfService(this->request.service->name),
-      this->chain, this->blamed, this->tokens, aNow, this->context.random);
+      this->chain, this->excluded, this->tokens, aNow, this->context.random);
 }
 
-void StreamExchange::MoveOn(Instant aNow) {
-  if (!this->upstream->MayCall(aNow) || !this->MayRepair(aNow)) {
+void StreamExchange::MigrateChain(Instant aNow) {
+  if (!this->upstream->MayCall(aNow) || !this->TryStartRepair(aNow)) {
     return;
   }
   const auto chain = this->RepairedChain(aNow);
@@ -135,32 +141,32 @@
   }
 }
 
-UpstreamPtr StreamExchange::WantsReport(Instant aNow) {
+UpstreamPtr StreamExchange::UpstreamToQuery(Instant aNow) {
   if (this->IsDone() || !this->call || !this->call->HasSent() ||
-      this->isRepairing || this->isHeldUp) {
+      this->isRepairing || this->isReadingPaused) {
     return nullptr;
   }
   const Micros limit = this->headSent
-                           ? this->context.settings.eventSilence
-                           : this->context.settings.firstEventSilence;
-  return this->Silence(aNow) >= limit ? this->upstream : nullptr;
+                           ? this->context.settings.eventTimeout
+                           : this->context.settings.firstEventTimeout;
+  return this->TimeSinceProgress(aNow) >= limit ? this->upstream : nullptr;
 }
 
 void StreamExchange::OnReport(const UpstreamPtr& aUpstream,
                               const Result<UpstreamReport>& aReport) {
   const Instant now = this->Now();
   if (this->IsDone() || !this->call || aUpstream != this->upstream ||
-      this->Silence(now) < kMemberSilence) {
+      this->TimeSinceProgress(now) < kMemberTimeout) {
     return;
   }
   if (!aReport) {
     this->Suspect(*aUpstream);
-    this->Resume("the first upstream does not answer");
+    this->Resume("the first upstream does not respond");
     return;
   }
-  LogInfo("stream_silent", {{"request", this->request.facts.id},
+  LogInfo("stream_silent", {{"request", this->request.info.id},
                             {"upstream", aUpstream->Entry().id},
-                            {"silent_ms", this->Silence(now) / 1ms},
+                            {"silent_ms", this->TimeSinceProgress(now) / 1ms},
                             {"running", aReport->running},
                             {"queued", aReport->queued},
                             {"memory_used", aReport->memoryUsed},
@@ -171,33 +177,34 @@
                             {"hops", this->chain.size()},
                             {"stalled", aReport->stalled.size()}});
   for (const StalledRequest& stalled : aReport->stalled) {
-    if (stalled.requestId == this->request.facts.id) {
+    if (stalled.requestId == this->request.info.id) {
       LogInfo("stream_stalled", {{"request", stalled.requestId},
                                  {"waits_for", stalled.waitsFor}});
-      this->Distrust(stalled.waitsFor, now, true);
+      this->Exclude(stalled.waitsFor, now, true);
       this->Repair(now);
       return;
     }
   }
-  const Micros limit = this->context.settings.connectionSilence;
-  if (aReport->queued == 0 && this->Silence(now) >= limit) {
-    this->context.kept.Distrust(aUpstream->Entry().Incarnation().Text());
-    this->Resume("its connection says nothing");
+  const Micros limit = this->context.settings.silentConnectionTimeout;
+  if (aReport->queued == 0 && this->TimeSinceProgress(now) >= limit) {
+    this->context.connections.Distrust(aUpstream->Entry().Incarnation().Text());
+    this->Resume("its connection delivers nothing");
   }
 }
 
 void StreamExchange::Repair(Instant aNow) {
-  if (!this->MayRepair(aNow)) {
+  if (!this->TryStartRepair(aNow)) {
     return;
   }
   if (!this->upstream->MayCall(aNow)) {
-    this->Resume("the first upstream takes no order now");
+    this->Resume("the call limit of the first upstream permits no order");
     return;
   }
   const auto repaired = this->RepairedChain(aNow);
   if (!repaired) {
-    // Nobody in its domain holds what was lost: a chain elsewhere does.
-    this->Resume("no other holder of the lost layers");
+    // No other upstream of its domain holds the lost layers; a chain in another
+    // domain may.
+    this->Resume("no other upstream holds the lost layers");
     return;
   }
   this->Reroute(*repaired);
@@ -206,7 +213,7 @@
 void StreamExchange::Reroute(const PoolChain& aChain) {
   this->isRepairing = true;
   this->context.control.Reroute(
-      this->request.facts.id, aChain,
+      this->request.info.id, aChain,
       [self =
            std::static_pointer_cast<StreamExchange>(this->shared_from_this()),
        aChain](const Result<OrderOutcome>& aOutcome) {
@@ -214,17 +221,18 @@
       });
 }
 
-bool StreamExchange::Blame(const PoolChain& aChain,
-                           const std::string& aAddress) {
+bool StreamExchange::ExcludeRejected(const PoolChain& aChain,
+                                     const std::string& aAddress) {
   for (const PoolHop& hop : aChain) {
     if (hop.upstream->Entry().address != aAddress ||
         hop.upstream == this->upstream) {
       continue;
     }
-    hop.upstream->EjectUntil(this->Now() + this->context.settings.refusalPause);
-    this->context.probe.Ask(hop.upstream);
-    this->blamed.push_back(hop.upstream);
-    return this->blamed.size() <= kMostBlamed;
+    hop.upstream->EjectUntil(this->Now() +
+                             this->context.settings.refusalBackoff);
+    this->context.prober.Probe(hop.upstream);
+    this->excluded.push_back(hop.upstream);
+    return this->excluded.size() <= kMaxExcluded;
   }
   return false;
 }
@@ -236,33 +244,34 @@
     return;
   }
   const Instant now = this->Now();
-  const bool isTaken = aOutcome && aOutcome->status == OrderStatus::Accepted;
-  LogInfo("stream_repaired", {{"request", this->request.facts.id},
-                              {"taken", isTaken},
-                              {"at_fault", aOutcome ? aOutcome->atFault : ""},
-                              {"silent_ms", this->Silence(now) / 1ms}});
-  if (isTaken) {
+  const bool isAccepted = aOutcome && aOutcome->status == OrderStatus::Accepted;
+  LogInfo("stream_repaired",
+          {{"request", this->request.info.id},
+           {"taken", isAccepted},
+           {"at_fault", aOutcome ? aOutcome->atFault : ""},
+           {"silent_ms", this->TimeSinceProgress(now) / 1ms}});
+  if (isAccepted) {
     this->repairs += 1;
     this->context.metrics.Count("zincstep_streams_repaired_total");
     this->chain = std::move(aChain);
     this->Reserve(this->chain);
     this->lastProgress = now;
-    this->blamed.clear();
+    this->excluded.clear();
     return;
   }
-  if (aOutcome && this->Blame(aChain, aOutcome->atFault)) {
-    // Another chain may do; several members can be lost at once.
+  if (aOutcome && this->ExcludeRejected(aChain, aOutcome->atFault)) {
+    // Several members may be lost at once, so another chain is tried now.
     this->nextRepair = now;
-    if (this->Silence(now) >= kMemberSilence) {
+    if (this->TimeSinceProgress(now) >= kMemberTimeout) {
       this->Repair(now);
       return;
     }
   } else {
-    this->nextRepair = now + kRefusedRepairPause;
+    this->nextRepair = now + kRefusedRepairBackoff;
   }
-  if (this->Silence(now) >= kLeftSilence) {
-    // It stands still, and its domain cannot take it on.
-    this->Resume("the first upstream refuses another chain");
+  if (this->TimeSinceProgress(now) >= kDepartedTimeout) {
+    // The stream is stalled, and its domain can't continue it.
+    this->Resume("the first upstream rejects another chain");
   }
 }
 
--- a/Zincstep/Relay/UpstreamProber.cpp
+++ b/Zincstep/Relay/UpstreamProber.cpp
@@ -9,7 +9,7 @@
                                OnSuspicion aOnSuspicion)
     : settings(aSettings),
       clock(aClock),
-      check(aControl, aClock, aSettings.latestTimeout),
+      check(aControl, aClock, aSettings.maxTimeoutLateness),
       onSuspicion(std::move(aOnSuspicion)),
       tokens(aSettings.maxPerSecond, aSettings.maxBurst) {}
 
@@ -21,18 +21,18 @@
   return true;
 }
 
-void UpstreamProber::Ask(const UpstreamPtr& aUpstream) {
+void UpstreamProber::Probe(const UpstreamPtr& aUpstream) {
   const Instant now = this->clock.Now();
   Record& record = this->records[aUpstream->Number()];
-  if (record.isOpen || now < record.nextAt || !this->TryAcquireToken(now)) {
+  if (record.isPending || now < record.nextAt || !this->TryAcquireToken(now)) {
     return;
   }
-  const bool isFirst = now - record.askedAt > 3 * this->settings.longestPause;
-  record.pause = isFirst
-                     ? this->settings.firstPause
-                     : std::min(2 * record.pause, this->settings.longestPause);
+  const bool isFirst = now - record.probedAt > 3 * this->settings.maxBackoff;
+  record.backoff =
+      isFirst ? this->settings.initialBackoff
+              : std::min(2 * record.backoff, this->settings.maxBackoff);
   record.evidence = Provenance::Observed;
-  this->Start(record, aUpstream, now);
+  this->StartProbe(record, aUpstream, now);
 }
 
 void UpstreamProber::Verify(const UpstreamPtr& aUpstream) {
@@ -41,52 +41,53 @@
   }
   const Instant now = this->clock.Now();
   Record& record = this->records[aUpstream->Number()];
-  const bool isRecent = now - record.askedAt < this->settings.firstPause;
-  if (!record.isOpen && !isRecent && this->TryAcquireToken(now)) {
+  const bool isRecent = now - record.probedAt < this->settings.initialBackoff;
+  if (!record.isPending && !isRecent && this->TryAcquireToken(now)) {
     record.evidence = Provenance::Reported;
-    this->Start(record, aUpstream, now);
+    this->StartProbe(record, aUpstream, now);
   }
 }
 
-void UpstreamProber::Start(Record& aRecord, const UpstreamPtr& aUpstream,
-                           Instant aNow) {
+void UpstreamProber::StartProbe(Record& aRecord, const UpstreamPtr& aUpstream,
+                                Instant aNow) {
   aRecord.upstream = aUpstream;
-  aRecord.askedAt = aNow;
-  aRecord.nextAt = aNow + aRecord.pause;
-  aRecord.isOpen = true;
-  this->Send(aUpstream, this->settings.tries);
+  aRecord.probedAt = aNow;
+  aRecord.nextAt = aNow + aRecord.backoff;
+  aRecord.isPending = true;
+  this->StartAttempt(aUpstream, this->settings.maxAttempts);
 }
 
-void UpstreamProber::Send(const UpstreamPtr& aUpstream, int aTriesLeft) {
-  this->Question(aUpstream, this->settings.timeout,
-                 [this, aUpstream, aTriesLeft](Liveness aSign) {
-                   const bool mayBeLost =
-                       aSign != Liveness::Alive && aSign != Liveness::Unknown;
-                   if (!mayBeLost) {
-                     this->Close(aUpstream);
-                   } else if (aTriesLeft > 1) {
-                     this->Send(aUpstream, aTriesLeft - 1);
-                   } else {
-                     this->OnSilence(aUpstream);
-                   }
-                 });
+void UpstreamProber::StartAttempt(const UpstreamPtr& aUpstream,
+                                  int aAttemptsLeft) {
+  this->SendProbe(aUpstream, this->settings.timeout,
+                  [this, aUpstream, aAttemptsLeft](Liveness aLiveness) {
+                    const bool isUnresponsive = aLiveness != Liveness::Alive &&
+                                                aLiveness != Liveness::Unknown;
+                    if (!isUnresponsive) {
+                      this->FinishProbe(aUpstream);
+                    } else if (aAttemptsLeft > 1) {
+                      this->StartAttempt(aUpstream, aAttemptsLeft - 1);
+                    } else {
+                      this->OnNoResponse(aUpstream);
+                    }
+                  });
 }
 
-void UpstreamProber::Question(const UpstreamPtr& aUpstream, Micros aTimeout,
-                              std::function<void(Liveness)> aDone) {
-  auto take = [this, aUpstream, done = std::move(aDone)](
-                  Liveness aSign, const UpstreamReport* aReport) {
+void UpstreamProber::SendProbe(const UpstreamPtr& aUpstream, Micros aTimeout,
+                               std::function<void(Liveness)> aDone) {
+  auto onResult = [this, aUpstream, done = std::move(aDone)](
+                      Liveness aLiveness, const UpstreamReport* aReport) {
     if (aReport != nullptr) {
-      this->OnAnswer(aUpstream, *aReport);
+      this->OnReport(aUpstream, *aReport);
     }
-    done(aSign);
+    done(aLiveness);
   };
   aUpstream->MayCall(this->clock.Now())
-      ? this->check.Ask(aUpstream, aTimeout, std::move(take))
-      : this->check.Connect(aUpstream, aTimeout, std::move(take));
+      ? this->check.RequestReport(aUpstream, aTimeout, std::move(onResult))
+      : this->check.ProbeConnection(aUpstream, aTimeout, std::move(onResult));
 }
 
-void UpstreamProber::OnAnswer(const UpstreamPtr& aUpstream,
+void UpstreamProber::OnReport(const UpstreamPtr& aUpstream,
                               const UpstreamReport& aReport) {
   const Instant now = this->clock.Now();
   if (aReport.slowdown != aUpstream->Slowdown(now)) {
@@ -97,35 +98,36 @@
   aUpstream->SetSlowdown(aReport.slowdown, now);
 }
 
-void UpstreamProber::OnSilence(const UpstreamPtr& aUpstream) {
+void UpstreamProber::OnNoResponse(const UpstreamPtr& aUpstream) {
   const Instant now = this->clock.Now();
   if (!aUpstream->IsSuspect(now)) {
     aUpstream->Suspect(now);
     LogInfo("upstream_suspected", {{"upstream", aUpstream->Entry().id},
-                                   {"reason", "no answer to a probe"}});
+                                   {"reason", "no response to a probe"}});
     this->onSuspicion(this->records[aUpstream->Number()].evidence);
   }
-  this->Confirm(aUpstream);
+  this->Recheck(aUpstream);
 }
 
-void UpstreamProber::Confirm(const UpstreamPtr& aUpstream) {
-  this->Question(aUpstream, this->settings.confirmTimeout,
-                 [this, aUpstream](Liveness) { this->Close(aUpstream); });
+void UpstreamProber::Recheck(const UpstreamPtr& aUpstream) {
+  this->SendProbe(
+      aUpstream, this->settings.confirmTimeout,
+      [this, aUpstream](Liveness) { this->FinishProbe(aUpstream); });
 }
 
-void UpstreamProber::Close(const UpstreamPtr& aUpstream) {
-  this->records[aUpstream->Number()].isOpen = false;
+void UpstreamProber::FinishProbe(const UpstreamPtr& aUpstream) {
+  this->records[aUpstream->Number()].isPending = false;
 }
 
 void UpstreamProber::Tick() {
   const Instant now = this->clock.Now();
   std::erase_if(this->records, [&](const auto& aRecord) {
-    return !aRecord.second.isOpen &&
-           now - aRecord.second.askedAt > 3 * this->settings.longestPause;
+    return !aRecord.second.isPending &&
+           now - aRecord.second.probedAt > 3 * this->settings.maxBackoff;
   });
   std::vector<UpstreamPtr> slow;
   for (auto& [id, record] : this->records) {
-    const bool isDue = now - record.askedAt >= this->settings.slowPause;
+    const bool isDue = now - record.probedAt >= this->settings.slowInterval;
     if (isDue && record.upstream &&
         record.upstream->ObservedSlowdown(now) > 1 &&
         record.upstream->MayCall(now)) {
@@ -134,7 +136,7 @@
     }
   }
   for (const UpstreamPtr& upstream : slow) {
-    this->Ask(upstream);
+    this->Probe(upstream);
   }
 }
 
--- a/Zincstep/Relay/UpstreamProber.h
+++ b/Zincstep/Relay/UpstreamProber.h
@@ -8,86 +8,88 @@
 
 namespace zincstep {
 
-/// Settings of probes.
+/// Settings of `UpstreamProber`.
 struct UpstreamProberSettings {
-  /// An upstream that lives reports within two milliseconds, from another
-  /// failure domain too; one that is dark says nothing.
+  /// Timeout of one attempt. A live upstream reports within 2 ms, also from
+  /// another failure domain.
   Micros timeout = 25ms;
-  /// A lost packet comes again later than that, so one more is asked for.
-  int tries = 2;
-  /// A time-out that is noticed this much too late tells more of this
-  /// daemon, which was slow, than of the upstream.
-  Micros latestTimeout = 15ms;
-  /// Time for the report of one that has just come under suspicion: it may
-  /// only be slow.
+  /// Attempts per probe: a lost packet is retransmitted only after the timeout,
+  /// so a second attempt is made.
+  int maxAttempts = 2;
+  /// A timeout noticed later than this is ignored, as this daemon was slow,
+  /// rather than the upstream.
+  Micros maxTimeoutLateness = 15ms;
+  /// Timeout of the second probe of an upstream that has just become suspect:
+  /// it may only be slow.
   Micros confirmTimeout = 150ms;
-  /// Pause before one that answered is asked again; it doubles while it
-  /// answers, up to the longest, and begins anew after three of these.
-  Micros firstPause = 200ms;
-  Micros longestPause = 1600ms;
-  /// One that reported to be slow is asked again after this.
-  Micros slowPause = 1s;
-  /// Probes of this daemon, a second; each is paid for, and costs processor
-  /// time where the daemon itself may be what is slow.
+  /// Minimum time between probes of an upstream. Doubles with each probe up to
+  /// `maxBackoff`, and is reset after three times `maxBackoff` without one.
+  Micros initialBackoff = 200ms;
+  Micros maxBackoff = 1600ms;
+  /// Interval of probes of an upstream that reported a slowdown.
+  Micros slowInterval = 1s;
+  /// Probes per second of this daemon. Each is charged for, and costs CPU time
+  /// on a daemon that may itself be overloaded.
   double maxPerSecond = 12;
-  /// Probes that may be asked at once: the members of three chains.
+  /// Probes in a burst: the members of three chains.
   double maxBurst = 40;
 };
 
-/// Asks upstreams whether they live, and how quick they are.
+/// Probes upstreams for liveness and slowdown.
 ///
-/// A stream that stands still tells that one of its members is lost, not
-/// which. The report of its first upstream tells, yet is some hundred
-/// milliseconds old; a dead member refuses the connection at once.
+/// A stalled stream shows that a member of its chain is lost, but not which.
+/// The report of its first upstream names the member, but some hundred
+/// milliseconds late; a dead member refuses a connection at once.
 class UpstreamProber {
  public:
-  /// Called when an upstream comes under suspicion: found here, or told by
-  /// another daemon and proved here.
+  /// Called when an upstream becomes suspect: observed by this daemon, or
+  /// reported by a peer and confirmed by this daemon.
   using OnSuspicion = std::function<void(Provenance)>;
 
   UpstreamProber(UpstreamProberSettings aSettings, UpstreamControl& aControl,
                  const Clock& aClock, OnSuspicion aOnSuspicion);
 
-  /// Asks an upstream unless it was asked a moment ago. It comes under
-  /// suspicion where it does not answer.
-  void Ask(const UpstreamPtr& aUpstream);
-  /// Asks an upstream that somebody else suspects, even if it answered a moment
-  /// ago. Whoever suspects many may be slow or cut off itself, so that nobody
-  /// takes its word for it. Plain services answer no probes: nobody is believed
-  /// there, and each daemon finds out by its own calls.
+  /// Probes an upstream, unless its backoff or the rate limit forbids it. Marks
+  /// it as suspect if it does not respond.
+  void Probe(const UpstreamPtr& aUpstream);
+  /// Probes an upstream that a peer suspects, even within its backoff. A peer
+  /// that suspects many upstreams may itself be slow or partitioned, so its
+  /// report alone is not trusted. Plain services do not respond to probes;
+  /// peers' reports of them are ignored, and each daemon relies on its own
+  /// calls.
   void Verify(const UpstreamPtr& aUpstream);
-  /// Asks anew those that reported to be slow.
+  /// Probes again the upstreams that reported a slowdown.
   void Tick();
 
  private:
-  /// One upstream's probes.
+  /// Probe state of one upstream.
   struct Record {
     UpstreamPtr upstream;
-    Instant askedAt{};
+    Instant probedAt{};
     Instant nextAt{};
-    Micros pause{0};
-    bool isOpen = false;
-    /// Who suspected it first.
+    Micros backoff{0};
+    bool isPending = false;
+    /// Whether this daemon or a peer suspected it first.
     Provenance evidence = Provenance::Observed;
   };
 
   bool TryAcquireToken(Instant aNow);
-  void Start(Record& aRecord, const UpstreamPtr& aUpstream, Instant aNow);
-  void Send(const UpstreamPtr& aUpstream, int aTriesLeft);
-  /// Asks for a report, or only connects where the upstream takes no call now:
-  /// then it may prove to be lost, and never to live.
-  void Question(const UpstreamPtr& aUpstream, Micros aTimeout,
-                std::function<void(Liveness)> aDone);
-  void OnAnswer(const UpstreamPtr& aUpstream, const UpstreamReport& aReport);
-  void OnSilence(const UpstreamPtr& aUpstream);
-  void Confirm(const UpstreamPtr& aUpstream);
-  void Close(const UpstreamPtr& aUpstream);
+  void StartProbe(Record& aRecord, const UpstreamPtr& aUpstream, Instant aNow);
+  void StartAttempt(const UpstreamPtr& aUpstream, int aAttemptsLeft);
+  /// Requests a report, or only opens a connection if the call limit permits no
+  /// call now; that can show a loss, but not that the upstream is alive.
+  void SendProbe(const UpstreamPtr& aUpstream, Micros aTimeout,
+                 std::function<void(Liveness)> aDone);
+  void OnReport(const UpstreamPtr& aUpstream, const UpstreamReport& aReport);
+  void OnNoResponse(const UpstreamPtr& aUpstream);
+  void Recheck(const UpstreamPtr& aUpstream);
+  void FinishProbe(const UpstreamPtr& aUpstream);
 
   UpstreamProberSettings settings;
   const Clock& clock;
   LivenessCheck check;
   OnSuspicion onSuspicion;
-  /// By the numbers of the upstreams.
+  /// Keyed by `LiveUpstream::Number`.
   std::unordered_map<std::uint64_t, Record> records;
   TokenBucket tokens;
 };
