--- a/UnitTests/RoutingTest.cpp
+++ b/UnitTests/RoutingTest.cpp
@@ -165,7 +165,7 @@
     facts.now = this->now;
     const Choice choice = *planner.Choose(facts, random);
     CPPUNIT_ASSERT_EQUAL(0, choice.chain.path);
-    CPPUNIT_ASSERT(choice.withinWindow);
+    CPPUNIT_ASSERT(choice.isWithinWindow);
   }
 
   void Repair_FailedHop_KeepsTheOthers() {
--- a/Zincstep/Entry/ModelAdmission.cpp
+++ b/Zincstep/Entry/ModelAdmission.cpp
@@ -175,7 +175,7 @@
     this->RefuseWaiting(aRequest, choice.error());
     return false;
   }
-  if (!choice->withinWindow && !this->MayOverfill(aRequest)) {
+  if (!choice->isWithinWindow && !this->MayOverfill(aRequest)) {
     return false;
   }
   this->context.tracer.Write("choose", aRequest.span.context, 0us,
@@ -189,7 +189,7 @@
 /// Whether a request may begin though its chain's window is full.
 bool ModelHandler::MayOverfill(const Request& aRequest) {
   const Organisation& organisation = *aRequest.facts.organisation;
-  const double most = kOverfill * aRequest.planner->OwnWindow();
+  const double most = kOverfill * aRequest.planner->LocalWindow();
   return aRequest.planner->InFlight() + 1 <= most &&
          this->QueueOf(aRequest).IsUnderShare(organisation.name,
                                               organisation.weight);
--- a/Zincstep/Entry/ModelHandler.cpp
+++ b/Zincstep/Entry/ModelHandler.cpp
@@ -282,7 +282,7 @@
     this->claims.Finish(aRequest.id, &kept);
   }
   if (aRequest.heldChain) {
-    aRequest.planner->Remember(aRequest.prefixHashes, *aRequest.heldChain);
+    aRequest.planner->RecordPrefix(aRequest.prefixHashes, *aRequest.heldChain);
     for (const ChainHop& hop : aRequest.heldChain->hops) {
       aRequest.planner->Loads().OnSuccess(hop.replica);
     }
--- a/Zincstep/Entry/StatusHandler.cpp
+++ b/Zincstep/Entry/StatusHandler.cpp
@@ -224,7 +224,7 @@
                     {"tokens_per_second", planner->Plan().tokensPerSecond},
                     {"upper_bound", planner->Plan().upperBound},
                     {"in_flight", planner->InFlight()},
-                    {"own_window", planner->OwnWindow()},
+                    {"own_window", planner->LocalWindow()},
                     {"paths", std::move(paths)}});
   }
   return {{"chains", std::move(list)}};
--- a/Zincstep/Routing/ChainPlanner.cpp
+++ b/Zincstep/Routing/ChainPlanner.cpp
@@ -232,7 +232,7 @@
     aChoice.chain = *warm;
     aChoice.chain.path = -1;
     aChoice.cachedTokens = matched;
-    aChoice.withinWindow = aChoice.withinWindow || use <= 1;
+    aChoice.isWithinWindow = aChoice.isWithinWindow || use <= 1;
   }
 }
 
@@ -272,24 +272,24 @@
   }
   MergeRepeats(choice.chain.hops);
   choice.stepSeconds = this->StepSeconds(choice.chain);
-  choice.withinWindow = true;
+  choice.isWithinWindow = true;
   for (const ChainHop& hop : choice.chain.hops) {
-    choice.withinWindow =
-        choice.withinWindow && this->HopUse(hop.replica, aNow) <= 1;
+    choice.isWithinWindow =
+        choice.isWithinWindow && this->HopUse(hop.replica, aNow) <= 1;
   }
   return choice;
 }
 
 Result<Choice> ChainPlanner::Choose(const ChainChoiceInput& aFacts,
                                     Random& aRandom) {
-  bool withinWindow = false;
-  const int path = this->ChoosePath(aFacts.now, aRandom, withinWindow);
+  bool isWithinWindow = false;
+  const int path = this->ChoosePath(aFacts.now, aRandom, isWithinWindow);
   if (path < 0) {
     return this->ChooseBySearch(aFacts.now);
   }
   Choice choice;
   choice.chain = this->ChainOf(path);
-  choice.withinWindow = withinWindow;
+  choice.isWithinWindow = isWithinWindow;
   if (!aFacts.prefixHashes.empty()) {
     this->PreferWarmChain(aFacts, choice);
   }
@@ -363,12 +363,12 @@
   ZINCSTEP_ASSERT(this->inFlight >= 0);
 }
 
-void ChainPlanner::Remember(const std::vector<std::uint64_t>& aHashes,
-                            const Chain& aChain) {
-  this->prefixes.Remember(aHashes, aChain);
+void ChainPlanner::RecordPrefix(const std::vector<std::uint64_t>& aHashes,
+                                const Chain& aChain) {
+  this->prefixes.RecordPrefix(aHashes, aChain);
 }
 
-double ChainPlanner::OwnWindow() const {
+double ChainPlanner::LocalWindow() const {
   double window = 0;
   for (const FlowPath& path : this->plan.paths) {
     window += path.window;
--- a/Zincstep/Routing/ChainPlanner.h
+++ b/Zincstep/Routing/ChainPlanner.h
@@ -27,7 +27,7 @@
   /// Estimated seconds of one decode step over all hops and links.
   double stepSeconds = 0;
   /// Whether the chain's share of the plan had room for one more.
-  bool withinWindow = false;
+  bool isWithinWindow = false;
 };
 
 /// Settings of a chain planner.
@@ -78,10 +78,11 @@
   /// The sequence has left the chain.
   void OnEnd(const Chain& aChain);
   /// The chain has run this prompt, so that its caches hold it.
-  void Remember(const std::vector<std::uint64_t>& aHashes, const Chain& aChain);
+  void RecordPrefix(const std::vector<std::uint64_t>& aHashes,
+                    const Chain& aChain);
 
   /// Sequences that this daemon may have in flight by its share of the plan.
-  double OwnWindow() const;
+  double LocalWindow() const;
   /// Sequences that this daemon has in flight.
   int InFlight() const { return this->inFlight; }
 
--- a/Zincstep/Routing/PrefixTable.cpp
+++ b/Zincstep/Routing/PrefixTable.cpp
@@ -20,8 +20,8 @@
   this->order.splice(this->order.begin(), this->order, aEntry.place);
 }
 
-void PrefixTable::Remember(const std::vector<std::uint64_t>& aHashes,
-                           const Chain& aChain) {
+void PrefixTable::RecordPrefix(const std::vector<std::uint64_t>& aHashes,
+                               const Chain& aChain) {
   for (const std::uint64_t hash : aHashes) {
     const auto found = this->entries.find(hash);
     if (found != this->entries.end()) {
--- a/Zincstep/Routing/PrefixTable.h
+++ b/Zincstep/Routing/PrefixTable.h
@@ -31,7 +31,8 @@
   explicit PrefixTable(std::size_t aCapacity) : capacity(aCapacity) {}
 
   /// Notes that `aChain` has run a prompt with these block hashes.
-  void Remember(const std::vector<std::uint64_t>& aHashes, const Chain& aChain);
+  void RecordPrefix(const std::vector<std::uint64_t>& aHashes,
+                    const Chain& aChain);
 
   /// The chain that shares the longest beginning, if any does.
   const Chain* Find(const std::vector<std::uint64_t>& aHashes,
