--- a/Zincstep/Relay/CrashDetector.cpp
+++ b/Zincstep/Relay/CrashDetector.cpp
@@ -220,8 +220,7 @@
                    {"asked_ms", (this->clock.Now() - aRuns.front().at) / 1ms},
                    {"requests", aRuns.size()}});
   for (const LostRun& run : aRuns) {
-    this->tracker.OnSuspicionResolved(
-        {run.request, aProbe.upstream->Number()});
+    this->tracker.OnSuspicionResolved({run.request, aProbe.upstream->Number()});
   }
 }
 
