--- a/Zincstep/Edge/EdgeDaemon.cpp
+++ b/Zincstep/Edge/EdgeDaemon.cpp
@@ -52,10 +52,10 @@
 
 /// Connects all components of the daemon on one event loop.
 ///
-/// A thread per task was asked for, but callers, upstreams and the store share
-/// this one: a VM has a quarter of a core, each wake-up has its cost, and an
-/// event that crosses threads takes two wake-ups. Peers, placement plans and
-/// the log have threads of their own.
+/// Callers, upstreams and the store share this thread instead of having one
+/// each: a VM has a quarter of a core, each wake-up has its cost, and an event
+/// that crosses threads takes two wake-ups. Peers, placement plans and the log
+/// have threads of their own.
 class EdgeDaemon final : private ClusterListener, private CrashListener {
  public:
   EdgeDaemon(const EdgeSettings& aSettings, asio::io_context& aLoop,
