--- a/UnitTests/FleetStartTest.cpp
+++ b/UnitTests/FleetStartTest.cpp
@@ -261,7 +261,7 @@
       }
       for (Daemon& daemon : this->daemons) {
         ItemList& list = this->lists[daemon.settings.failureDomain];
-        list.Advance(this->store.revision);
+        list.AdvanceTo(this->store.revision);
         const bool hasChanged =
             !daemon.hasList || daemon.listRevision < list.At();
         if (daemon.members && daemon.isFresh && hasChanged) {
