--- a/UnitTests/RoutingTest.cpp
+++ b/UnitTests/RoutingTest.cpp
@@ -11,28 +11,28 @@
 
 class RoutingTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RoutingTest);
-  CPPUNIT_TEST(Plan_AnyFleet_StaysBelowItsBound);
-  CPPUNIT_TEST(Plan_OneUpstream_IsItsSpeed);
+  CPPUNIT_TEST(Plan_AnyFleet_StaysBelowUpperBound);
+  CPPUNIT_TEST(Plan_OneUpstream_EqualsItsSpeed);
   CPPUNIT_TEST(Choose_AnyFleet_CoversAllLayersOnce);
   CPPUNIT_TEST(Choose_AnyFleet_UsesNoUpstreamTwice);
-  CPPUNIT_TEST(Choose_SameSeed_GivesTheSameChains);
-  CPPUNIT_TEST(Choose_LeavingUpstream_IsNeverTaken);
-  CPPUNIT_TEST(Choose_OtherVersion_IsNeverTaken);
-  CPPUNIT_TEST(Choose_IdleFleet_TakesTheQuickestPath);
-  CPPUNIT_TEST(Repair_FailedHop_KeepsTheOthers);
-  CPPUNIT_TEST(Repair_NobodyElse_TakesSuspectsAtLast);
+  CPPUNIT_TEST(Choose_SameSeed_ReturnsSameChains);
+  CPPUNIT_TEST(Choose_LeavingUpstream_IsNeverChosen);
+  CPPUNIT_TEST(Choose_OtherVersion_IsNeverChosen);
+  CPPUNIT_TEST(Choose_IdleFleet_ChoosesFastestPath);
+  CPPUNIT_TEST(Repair_FailedHop_KeepsOtherHops);
+  CPPUNIT_TEST(Repair_NoAlternative_UsesSuspectsAsLastResort);
   CPPUNIT_TEST(Load_UnreachableUpstream_GetsNoTrial);
-  CPPUNIT_TEST(Load_SuspectThatAnswers_ComesBack);
-  CPPUNIT_TEST(Prefix_TwoOrganisations_ShareNothing);
-  CPPUNIT_TEST(Balancer_FailingReplica_IsEjectedForAWhile);
-  CPPUNIT_TEST(Balancer_MostFailing_EjectsNotAll);
+  CPPUNIT_TEST(Load_SuspectThatReports_WarmsUp);
+  CPPUNIT_TEST(Prefix_TwoOrganisations_ShareNoHash);
+  CPPUNIT_TEST(Balancer_FailingReplica_IsEjectedTemporarily);
+  CPPUNIT_TEST(Balancer_MostFailing_DoesNotEjectAll);
   CPPUNIT_TEST_SUITE_END();
 
-  static FlowPlan PlanOf(const ChainPlanner& aPlanner, Instant aNow) {
+  static FlowPlan ComputePlan(const ChainPlanner& aPlanner, Instant aNow) {
     return ComputeFlowPlan(aPlanner.GetFleet(), aPlanner.UsableShares(aNow));
   }
 
-  static Fleet FleetOf(std::uint64_t aSeed) {
+  static Fleet MakeFleet(std::uint64_t aSeed) {
     bench::FleetShape shape;
     shape.seed = aSeed;
     return bench::MakeBenchFleet(shape);
@@ -44,23 +44,23 @@
     Random random(5);
     std::vector<Chain> chains;
     for (int i = 0; i < aCount; ++i) {
-      ChainChoiceInput facts;
-      facts.now = this->now;
-      chains.push_back(aPlanner.Choose(facts, random)->chain);
+      ChainChoiceInput input;
+      input.now = this->now;
+      chains.push_back(aPlanner.Choose(input, random)->chain);
       aPlanner.OnStart(chains.back());
     }
     return chains;
   }
 
  public:
-  void Plan_AnyFleet_StaysBelowItsBound() {
+  void Plan_AnyFleet_StaysBelowUpperBound() {
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-      const Fleet fleet = FleetOf(seed);
+      const Fleet fleet = MakeFleet(seed);
       const FlowPlan plan = ComputeFlowPlan(
           fleet, std::vector<double>(fleet.replicas.size(), 1.0));
       CPPUNIT_ASSERT(plan.tokensPerSecond <= plan.upperBound * 1.0001);
       CPPUNIT_ASSERT(plan.tokensPerSecond >= 0.95 * plan.upperBound);
-      // No group is given more work than it has time for.
+      // No group is assigned more work than its capacity.
       std::vector<double> used(plan.groups.size(), 0);
       for (const FlowPath& path : plan.paths) {
         for (const FlowHop& hop : path.hops) {
@@ -68,7 +68,7 @@
               plan.groups[static_cast<std::size_t>(hop.group)];
           used[static_cast<std::size_t>(hop.group)] +=
               path.tokensPerSecond * group.layerSeconds * hop.layers.Size() /
-              (group.slots * group.strength);
+              (group.slots * group.usableMembers);
         }
       }
       for (const double use : used) {
@@ -77,7 +77,7 @@
     }
   }
 
-  void Plan_OneUpstream_IsItsSpeed() {
+  void Plan_OneUpstream_EqualsItsSpeed() {
     Fleet fleet;
     fleet.layers = 10;
     fleet.domains = 1;
@@ -93,8 +93,8 @@
 
   void Choose_AnyFleet_CoversAllLayersOnce() {
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-      ChainPlanner planner(FleetOf(seed), {});
-      planner.SetPlan(PlanOf(planner, this->now));
+      ChainPlanner planner(MakeFleet(seed), {});
+      planner.SetPlan(ComputePlan(planner, this->now));
       for (const Chain& chain : this->ChooseMany(planner, 300)) {
         CPPUNIT_ASSERT(chain.Covers(planner.GetFleet().layers));
         for (const ChainHop& hop : chain.hops) {
@@ -108,8 +108,8 @@
 
   void Choose_AnyFleet_UsesNoUpstreamTwice() {
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-      ChainPlanner planner(FleetOf(seed), {});
-      planner.SetPlan(PlanOf(planner, this->now));
+      ChainPlanner planner(MakeFleet(seed), {});
+      planner.SetPlan(ComputePlan(planner, this->now));
       for (const Chain& chain : this->ChooseMany(planner, 300)) {
         std::set<int> seen;
         for (const ChainHop& hop : chain.hops) {
@@ -119,11 +119,11 @@
     }
   }
 
-  void Choose_SameSeed_GivesTheSameChains() {
-    ChainPlanner one(FleetOf(3), {});
-    ChainPlanner other(FleetOf(3), {});
-    one.SetPlan(PlanOf(one, this->now));
-    other.SetPlan(PlanOf(other, this->now));
+  void Choose_SameSeed_ReturnsSameChains() {
+    ChainPlanner one(MakeFleet(3), {});
+    ChainPlanner other(MakeFleet(3), {});
+    one.SetPlan(ComputePlan(one, this->now));
+    other.SetPlan(ComputePlan(other, this->now));
     const auto left = this->ChooseMany(one, 200);
     const auto right = this->ChooseMany(other, 200);
     for (std::size_t i = 0; i < left.size(); ++i) {
@@ -131,9 +131,9 @@
     }
   }
 
-  void Choose_LeavingUpstream_IsNeverTaken() {
-    ChainPlanner planner(FleetOf(1), {});
-    planner.SetPlan(PlanOf(planner, this->now));
+  void Choose_LeavingUpstream_IsNeverChosen() {
+    ChainPlanner planner(MakeFleet(1), {});
+    planner.SetPlan(ComputePlan(planner, this->now));
     for (int i = 0; i < 30; ++i) {
       planner.Loads().SetLeaving(i);
     }
@@ -144,9 +144,9 @@
     }
   }
 
-  void Choose_OtherVersion_IsNeverTaken() {
-    ChainPlanner planner(FleetOf(1), {});
-    planner.SetPlan(PlanOf(planner, this->now));
+  void Choose_OtherVersion_IsNeverChosen() {
+    ChainPlanner planner(MakeFleet(1), {});
+    planner.SetPlan(ComputePlan(planner, this->now));
     for (int i = 0; i < 30; ++i) {
       planner.Loads().SetHoldsVersion(i, false);
     }
@@ -157,20 +157,20 @@
     }
   }
 
-  void Choose_IdleFleet_TakesTheQuickestPath() {
-    ChainPlanner planner(FleetOf(1), {});
-    planner.SetPlan(PlanOf(planner, this->now));
+  void Choose_IdleFleet_ChoosesFastestPath() {
+    ChainPlanner planner(MakeFleet(1), {});
+    planner.SetPlan(ComputePlan(planner, this->now));
     Random random(1);
-    ChainChoiceInput facts;
-    facts.now = this->now;
-    const Choice choice = *planner.Choose(facts, random);
+    ChainChoiceInput input;
+    input.now = this->now;
+    const Choice choice = *planner.Choose(input, random);
     CPPUNIT_ASSERT_EQUAL(0, choice.chain.path);
     CPPUNIT_ASSERT(choice.isWithinWindow);
   }
 
-  void Repair_FailedHop_KeepsTheOthers() {
-    ChainPlanner planner(FleetOf(1), {});
-    planner.SetPlan(PlanOf(planner, this->now));
+  void Repair_FailedHop_KeepsOtherHops() {
+    ChainPlanner planner(MakeFleet(1), {});
+    planner.SetPlan(ComputePlan(planner, this->now));
     const Chain chain = this->ChooseMany(planner, 1).front();
     std::vector<bool> failed(chain.hops.size(), false);
     failed[1] = true;
@@ -184,7 +184,7 @@
     }
   }
 
-  void Repair_NobodyElse_TakesSuspectsAtLast() {
+  void Repair_NoAlternative_UsesSuspectsAsLastResort() {
     Fleet fleet;
     fleet.layers = 4;
     fleet.domains = 1;
@@ -194,7 +194,7 @@
     replica.layerSeconds = 0.001;
     fleet.replicas = {replica};
     ChainPlanner planner(fleet, {});
-    planner.SetPlan(PlanOf(planner, this->now));
+    planner.SetPlan(ComputePlan(planner, this->now));
     const Chain chain = this->ChooseMany(planner, 1).front();
     planner.Loads().OnFailure(0, this->now);
     CPPUNIT_ASSERT(!planner.Repair(chain, {true}, this->now, false));
@@ -213,7 +213,7 @@
     }
   }
 
-  void Load_SuspectThatAnswers_ComesBack() {
+  void Load_SuspectThatReports_WarmsUp() {
     LoadTable loads(1, {});
     loads.OnFailure(0, this->now);
     loads.OnReport(0, 0, this->now + 100ms);
@@ -222,13 +222,13 @@
     CPPUNIT_ASSERT(loads.State(0) == ReplicaState::Up);
     CPPUNIT_ASSERT(loads.UsableShare(0, this->now + 700ms) < 0.2);
     CPPUNIT_ASSERT(loads.UsableShare(0, this->now + 11s) > 0.9);
-    // It failed again before a stream ended well: twice the wait.
+    // A second failure before a sequence succeeds doubles the backoff.
     loads.OnFailure(0, this->now + 1s);
     loads.OnReport(0, 0, this->now + 1600ms);
     CPPUNIT_ASSERT(loads.State(0) == ReplicaState::Suspect);
   }
 
-  void Prefix_TwoOrganisations_ShareNothing() {
+  void Prefix_TwoOrganisations_ShareNoHash() {
     const std::string prompt(640, 'p');
     const auto one = PrefixHashes("shops", "m/v1/", prompt);
     const auto other = PrefixHashes("resorts", "m/v1/", prompt);
@@ -239,7 +239,7 @@
     CPPUNIT_ASSERT(one != PrefixHashes("shops", "m/v2/", prompt));
   }
 
-  void Balancer_FailingReplica_IsEjectedForAWhile() {
+  void Balancer_FailingReplica_IsEjectedTemporarily() {
     ServiceBalancer balancer(
         {{"a", "1", "d"}, {"b", "2", "d"}, {"c", "3", "d"}}, "d", {});
     for (int i = 0; i < 3; ++i) {
@@ -254,7 +254,7 @@
     CPPUNIT_ASSERT(!balancer.IsEjected(0, this->now + 2s));
   }
 
-  void Balancer_MostFailing_EjectsNotAll() {
+  void Balancer_MostFailing_DoesNotEjectAll() {
     ServiceBalancer balancer({{"a", "1", "d"}, {"b", "2", "d"}}, "d", {});
     for (int replica = 0; replica < 2; ++replica) {
       for (int i = 0; i < 3; ++i) {
--- a/Zincstep/Entry/ModelPool.cpp
+++ b/Zincstep/Entry/ModelPool.cpp
@@ -392,7 +392,7 @@
                                                           : actual->second;
       for (const auto& [version, one] : state.versions) {
         const LoadTable& loads = one.planner->Loads();
-        view.own += loads.Own(index);
+        view.own += loads.LocalSequences(index);
         if (version == view.version) {
           view.state = loads.State(index);
           view.sequences = loads.Estimate(index, now);
--- a/Zincstep/Routing/Chain.h
+++ b/Zincstep/Routing/Chain.h
@@ -18,9 +18,9 @@
 /// Upstreams that together run every layer of one model version in order.
 struct Chain {
   std::vector<ChainHop> hops;
-  /// Index of the plan's path that it follows, or -1.
+  /// Index of its path in the plan, or -1 if it follows none.
   int path = -1;
-  /// Number of the plan that `path` belongs to.
+  /// Number of the plan that `path` refers to.
   int plan = 0;
 
   /// Whether the hops cover [0, `aLayers`) without gap or overlap.
--- a/Zincstep/Routing/ChainPlanner.cpp
+++ b/Zincstep/Routing/ChainPlanner.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-/// A warm chain may be fuller than its window by this much and still pay.
-constexpr double kWarmUseLimit = 1.5;
+/// Maximum work over window at which a chain with a cached prompt is preferred.
+constexpr double kMaxWarmUse = 1.5;
 
-/// Makes one hop of all hops on one upstream.
+/// Merges the hops that use the same upstream, with all hops between them.
 ///
-/// It holds a whole range, so that it can run what lies between them too;
-/// an engine keeps one layer range of a sequence, not two.
-void MergeRepeats(std::vector<ChainHop>& aHops) {
+/// An engine keeps only one layer range per sequence. The upstream can also run
+/// the layers in between, as it holds a contiguous range.
+void MergeRepeatedReplicas(std::vector<ChainHop>& aHops) {
   for (std::size_t i = 0; i < aHops.size(); ++i) {
     for (std::size_t j = aHops.size() - 1; j > i; --j) {
       if (aHops[j].replica == aHops[i].replica) {
@@ -70,17 +70,17 @@
   }
 }
 
-double ChainPlanner::HopUse(int aReplica, Instant aNow) const {
+double ChainPlanner::ComputeHopUse(int aReplica, Instant aNow) const {
   const int group = this->groupOfReplica[static_cast<std::size_t>(aReplica)];
   const double window =
       group < 0
           ? 0
           : this->plan.groups[static_cast<std::size_t>(group)].memberWindow;
-  const double strength = this->loads.UsableShare(aReplica, aNow);
+  const double usableShare = this->loads.UsableShare(aReplica, aNow);
   const double slots =
       this->fleet.replicas[static_cast<std::size_t>(aReplica)].slots;
-  const double room = (window > 0 ? window : slots) * strength;
-  return (this->loads.Estimate(aReplica, aNow) + 1) / std::max(room, 1e-9);
+  const double capacity = (window > 0 ? window : slots) * usableShare;
+  return (this->loads.Estimate(aReplica, aNow) + 1) / std::max(capacity, 1e-9);
 }
 
 ChainPlanner::MemberPick ChainPlanner::PickMember(std::size_t aGroup,
@@ -88,9 +88,9 @@
                                                   Random& aRandom) {
   const FlowGroup& group = this->plan.groups[aGroup];
   MemberPick best;
-  double leastShare = HUGE_VAL;
+  double minShare = HUGE_VAL;
   const std::size_t count = group.members.size();
-  // A random start keeps daemons with equal knowledge from equal choices.
+  // A random start avoids equal choices by daemons with the same data.
   const std::size_t offset = aRandom.Below(count);
   for (std::size_t i = 0; i < count; ++i) {
     const int member = group.members[(offset + i) % count];
@@ -99,19 +99,19 @@
     }
     const double share = (this->loads.DampedShare(member, aNow) + 1) /
                          this->loads.UsableShare(member, aNow);
-    if (best.replica < 0 || share < leastShare) {
+    if (best.replica < 0 || share < minShare) {
       best.replica = member;
-      leastShare = share;
+      minShare = share;
     }
   }
   if (best.replica >= 0) {
-    best.use = this->HopUse(best.replica, aNow);
+    best.use = this->ComputeHopUse(best.replica, aNow);
   }
   return best;
 }
 
-double ChainPlanner::PathUse(const FlowPath& aPath, Instant aNow,
-                             Random& aRandom) {
+double ChainPlanner::ComputePathUse(const FlowPath& aPath, Instant aNow,
+                                    Random& aRandom) {
   double use = 0;
   for (const FlowHop& hop : aPath.hops) {
     const auto group = static_cast<std::size_t>(hop.group);
@@ -139,19 +139,19 @@
   int best = -1;
   double bestKey = HUGE_VAL;
   for (std::size_t i = 0; i < this->plan.paths.size(); ++i) {
-    const double use = this->PathUse(this->plan.paths[i], aNow, aRandom);
+    const double use = this->ComputePathUse(this->plan.paths[i], aNow, aRandom);
     if (use == HUGE_VAL) {
       continue;
     }
     const double share = this->PathShare(i);
-    const int mine = this->pathInFlight[i];
-    const bool hasRoom =
-        mine + 1 <= std::max(1.0, share) && use <= this->settings.windowSlack;
+    const int inFlightHere = this->pathInFlight[i];
+    const bool hasRoom = inFlightHere + 1 <= std::max(1.0, share) &&
+                         use <= this->settings.windowSlack;
     if (hasRoom) {
       aWithinWindow = true;
       return static_cast<int>(i);
     }
-    const double key = (mine + 1) / share;
+    const double key = (inFlightHere + 1) / share;
     if (key < bestKey) {
       bestKey = key;
       best = static_cast<int>(i);
@@ -161,7 +161,7 @@
   return best;
 }
 
-Chain ChainPlanner::ChainOf(int aPath) const {
+Chain ChainPlanner::BuildChain(int aPath) const {
   Chain chain;
   chain.path = aPath;
   chain.plan = this->planNumber;
@@ -170,11 +170,11 @@
     const MemberPick& pick = this->picks[static_cast<std::size_t>(hop.group)];
     chain.hops.push_back({pick.replica, hop.layers});
   }
-  MergeRepeats(chain.hops);
+  MergeRepeatedReplicas(chain.hops);
   return chain;
 }
 
-double ChainPlanner::StepSeconds(const Chain& aChain) const {
+double ChainPlanner::ComputeStepSeconds(const Chain& aChain) const {
   double seconds = 0;
   int domain = -1;
   for (const ChainHop& hop : aChain.hops) {
@@ -207,28 +207,28 @@
     const FleetReplica& replica =
         this->fleet.replicas[static_cast<std::size_t>(hop.replica)];
     prefill += replica.prefillLayerSeconds * hop.layers.Size();
-    use = std::max(use, this->HopUse(hop.replica, aNow));
+    use = std::max(use, this->ComputeHopUse(hop.replica, aNow));
   }
   return prefill * aTokensToPrefill +
-         this->settings.expectedTokens * this->StepSeconds(aChain) * use;
+         this->settings.expectedTokens * this->ComputeStepSeconds(aChain) * use;
 }
 
-void ChainPlanner::PreferWarmChain(const ChainChoiceInput& aFacts,
+void ChainPlanner::PreferWarmChain(const ChainChoiceInput& aInput,
                                    Choice& aChoice) {
   int matched = 0;
-  const Chain* warm = this->prefixes.Find(aFacts.prefixHashes, matched);
-  if (warm == nullptr || !this->IsRunnable(*warm, aFacts.now)) {
+  const Chain* warm = this->prefixes.Find(aInput.prefixHashes, matched);
+  if (warm == nullptr || !this->IsRunnable(*warm, aInput.now)) {
     return;
   }
   double use = 0;
   for (const ChainHop& hop : warm->hops) {
-    use = std::max(use, this->HopUse(hop.replica, aFacts.now));
+    use = std::max(use, this->ComputeHopUse(hop.replica, aInput.now));
   }
   const double warmSeconds =
-      this->ExpectedSeconds(*warm, aFacts.promptTokens - matched, aFacts.now);
+      this->ExpectedSeconds(*warm, aInput.promptTokens - matched, aInput.now);
   const double coldSeconds =
-      this->ExpectedSeconds(aChoice.chain, aFacts.promptTokens, aFacts.now);
-  if (use <= kWarmUseLimit && warmSeconds < coldSeconds) {
+      this->ExpectedSeconds(aChoice.chain, aInput.promptTokens, aInput.now);
+  if (use <= kMaxWarmUse && warmSeconds < coldSeconds) {
     aChoice.chain = *warm;
     aChoice.chain.path = -1;
     aChoice.cachedTokens = matched;
@@ -240,11 +240,11 @@
   for (std::size_t i = 0; i < this->searchItems.size(); ++i) {
     const int replica = static_cast<int>(i);
     SearchItem& item = this->searchItems[i];
-    item.usable = aWithSuspects ? this->loads.IsPossible(replica)
+    item.usable = aWithSuspects ? this->loads.CanRun(replica)
                                 : this->loads.IsUsable(replica, aNow) &&
                                       !this->loads.IsTrial(replica);
     if (item.usable) {
-      const double use = std::max(1.0, this->HopUse(replica, aNow));
+      const double use = std::max(1.0, this->ComputeHopUse(replica, aNow));
       const double ratio = std::max(1.0, this->loads.StepRatio(replica));
       item.layerCost = this->fleet.replicas[i].layerSeconds * ratio * use;
     }
@@ -270,30 +270,30 @@
     return Fail(ErrorKind::NoCapacity,
                 "no upstreams cover all layers of " + this->fleet.model);
   }
-  MergeRepeats(choice.chain.hops);
-  choice.stepSeconds = this->StepSeconds(choice.chain);
+  MergeRepeatedReplicas(choice.chain.hops);
+  choice.stepSeconds = this->ComputeStepSeconds(choice.chain);
   choice.isWithinWindow = true;
   for (const ChainHop& hop : choice.chain.hops) {
     choice.isWithinWindow =
-        choice.isWithinWindow && this->HopUse(hop.replica, aNow) <= 1;
+        choice.isWithinWindow && this->ComputeHopUse(hop.replica, aNow) <= 1;
   }
   return choice;
 }
 
-Result<Choice> ChainPlanner::Choose(const ChainChoiceInput& aFacts,
+Result<Choice> ChainPlanner::Choose(const ChainChoiceInput& aInput,
                                     Random& aRandom) {
   bool isWithinWindow = false;
-  const int path = this->ChoosePath(aFacts.now, aRandom, isWithinWindow);
+  const int path = this->ChoosePath(aInput.now, aRandom, isWithinWindow);
   if (path < 0) {
-    return this->ChooseBySearch(aFacts.now);
+    return this->ChooseBySearch(aInput.now);
   }
   Choice choice;
-  choice.chain = this->ChainOf(path);
+  choice.chain = this->BuildChain(path);
   choice.isWithinWindow = isWithinWindow;
-  if (!aFacts.prefixHashes.empty()) {
-    this->PreferWarmChain(aFacts, choice);
+  if (!aInput.prefixHashes.empty()) {
+    this->PreferWarmChain(aInput, choice);
   }
-  choice.stepSeconds = this->StepSeconds(choice.chain);
+  choice.stepSeconds = this->ComputeStepSeconds(choice.chain);
   ZINCSTEP_ASSERT(choice.chain.Covers(this->fleet.layers));
   return choice;
 }
@@ -311,8 +311,8 @@
   }
   Chain repaired;
   int domain = -1;
-  bool whole = true;
-  for (std::size_t i = 0; i < aFailed.size() && whole; ++i) {
+  bool isCovered = true;
+  for (std::size_t i = 0; i < aFailed.size() && isCovered; ++i) {
     if (!aFailed[i]) {
       repaired.hops.push_back(aChain.hops[i]);
     } else {
@@ -320,25 +320,24 @@
       while (i + 1 < aFailed.size() && aFailed[i + 1]) {
         range.last = aChain.hops[++i].layers.last;
       }
-      whole = this->CoverByReplicas(range, domain, repaired.hops);
+      isCovered = this->CoverByReplicas(range, domain, repaired.hops);
     }
-    if (whole) {
+    if (isCovered) {
       const auto last = static_cast<std::size_t>(repaired.hops.back().replica);
       domain = this->fleet.replicas[last].domain;
     }
   }
-  if (whole) {
-    MergeRepeats(repaired.hops);
+  if (isCovered) {
+    MergeRepeatedReplicas(repaired.hops);
     ZINCSTEP_ASSERT(repaired.Covers(this->fleet.layers));
     return repaired;
   }
   const LayerRange all{0, this->fleet.layers};
   repaired.hops.clear();
   if (!this->CoverByReplicas(all, -1, repaired.hops)) {
-    return Fail(ErrorKind::NoCapacity,
-                "no upstreams cover the layers that were lost");
+    return Fail(ErrorKind::NoCapacity, "no upstreams cover the lost layers");
   }
-  MergeRepeats(repaired.hops);
+  MergeRepeatedReplicas(repaired.hops);
   return repaired;
 }
 
--- a/Zincstep/Routing/ChainPlanner.h
+++ b/Zincstep/Routing/ChainPlanner.h
@@ -11,7 +11,7 @@
 
 namespace zincstep {
 
-/// What is known of a request when its chain is chosen.
+/// Properties of a request by which its chain is chosen.
 struct ChainChoiceInput {
   int promptTokens = 0;
   /// Block hashes of the prompt, salted by the organisation.
@@ -19,14 +19,14 @@
   Instant now;
 };
 
-/// A chosen chain and what may be expected of it.
+/// A chosen chain and its expected performance.
 struct Choice {
   Chain chain;
-  /// Leading tokens that the chain may hold in its caches.
+  /// Leading prompt tokens that the chain's KV caches may hold.
   int cachedTokens = 0;
-  /// Estimated seconds of one decode step over all hops and links.
+  /// Estimated time of one decode step over all hops and links, in seconds.
   double stepSeconds = 0;
-  /// Whether the chain's share of the plan had room for one more.
+  /// Whether the window of the path or chain had room for this sequence.
   bool isWithinWindow = false;
 };
 
@@ -34,19 +34,19 @@
 struct ChainPlannerSettings {
   LoadTableSettings loads;
   std::size_t prefixCapacity = 1 << 16;
-  /// How far over its window an upstream may be before paths avoid it.
+  /// Work over window up to which paths use an upstream.
   double windowSlack = 1.15;
-  /// Tokens that an answer is expected to have, to weigh a warm cache.
+  /// Expected tokens of an answer; weighs cached prompts against decode time.
   double expectedTokens = 200;
 };
 
 /// Chooses a chain for each request of one model version.
 ///
-/// The flow plan gives each path a window of sequences, its share at full
-/// flow. The quickest path with room in its window is taken: an idle fleet
-/// answers at its quickest, a full one divides its work as the greatest
-/// flow does, and no path takes what a slower but scarcer one needs.
-/// Inside a group the upstream with the least estimated work is taken.
+/// The flow plan assigns each path a window: the sequences in flight at maximum
+/// flow. Requests get the fastest path with room in its window. So an idle
+/// fleet has minimum latency, a full one divides its work like the maximum
+/// flow, and no path uses up capacity that a slower path depends on. Within a
+/// group, the upstream with the least estimated work is chosen.
 class ChainPlanner {
  public:
   ChainPlanner(Fleet aFleet, ChainPlannerSettings aSettings);
@@ -56,54 +56,56 @@
   const LoadTable& Loads() const { return this->loads; }
   const FlowPlan& Plan() const { return this->plan; }
 
-  /// Usable share of each upstream's speed, the input of a flow plan.
+  /// Usable share of each upstream's speed, from 0 to 1; input of
+  /// `ComputeFlowPlan`.
   std::vector<double> UsableShares(Instant aNow) const;
 
-  /// Puts a new plan in force.
+  /// Replaces the plan. Sequences in flight stop counting for its paths.
   void SetPlan(FlowPlan aPlan);
 
-  /// Chooses a chain; fails with `NoCapacity` where no chain is whole.
-  Result<Choice> Choose(const ChainChoiceInput& aFacts, Random& aRandom);
+  /// Chooses a chain; fails with `NoCapacity` if none covers all layers.
+  Result<Choice> Choose(const ChainChoiceInput& aInput, Random& aRandom);
 
   /// Replaces the failed hops of a chain and keeps the others.
   ///
-  /// `aFailed` has one entry a hop. Where the failed layers cannot be
-  /// covered alone, a wholly new chain is chosen. As a last resort also
-  /// upstreams that failed or are suspected are taken.
+  /// `aFailed` has one entry per hop. If the failed layers alone can't be
+  /// covered, chooses an entirely new chain. With `aLastResort`, failed and
+  /// suspect upstreams are used, too. Fails with `NoCapacity`.
   Result<Chain> Repair(const Chain& aChain, const std::vector<bool>& aFailed,
                        Instant aNow, bool aLastResort);
 
-  /// A sequence starts on the chain.
+  /// Records that a sequence starts on the chain.
   void OnStart(const Chain& aChain);
-  /// The sequence has left the chain.
+  /// Records that a sequence on the chain has ended.
   void OnEnd(const Chain& aChain);
-  /// The chain has run this prompt, so that its caches hold it.
+  /// Records that the chain's KV caches hold the prompt with these block
+  /// hashes.
   void RecordPrefix(const std::vector<std::uint64_t>& aHashes,
                     const Chain& aChain);
 
-  /// Sequences that this daemon may have in flight by its share of the plan.
+  /// This daemon's share of the plan's window, in sequences.
   double LocalWindow() const;
-  /// Sequences that this daemon has in flight.
+  /// Sequences of this daemon in flight.
   int InFlight() const { return this->inFlight; }
 
  private:
   struct MemberPick {
     int replica = -1;
-    /// Work over window, 1 when the member is full.
+    /// Work over window; 1 if the member is full.
     double use = 0;
   };
 
   MemberPick PickMember(std::size_t aGroup, Instant aNow, Random& aRandom);
-  double PathUse(const FlowPath& aPath, Instant aNow, Random& aRandom);
+  double ComputePathUse(const FlowPath& aPath, Instant aNow, Random& aRandom);
   double PathShare(std::size_t aPath) const;
   int ChoosePath(Instant aNow, Random& aRandom, bool& aWithinWindow);
-  Chain ChainOf(int aPath) const;
-  double StepSeconds(const Chain& aChain) const;
-  double HopUse(int aReplica, Instant aNow) const;
+  Chain BuildChain(int aPath) const;
+  double ComputeStepSeconds(const Chain& aChain) const;
+  double ComputeHopUse(int aReplica, Instant aNow) const;
   bool IsRunnable(const Chain& aChain, Instant aNow) const;
   double ExpectedSeconds(const Chain& aChain, int aTokensToPrefill,
                          Instant aNow) const;
-  void PreferWarmChain(const ChainChoiceInput& aFacts, Choice& aChoice);
+  void PreferWarmChain(const ChainChoiceInput& aInput, Choice& aChoice);
   Result<Choice> ChooseBySearch(Instant aNow);
   void SetSearchCosts(Instant aNow, bool aWithSuspects);
   bool CoverByReplicas(LayerRange aRange, int aFromDomain,
--- a/Zincstep/Routing/Fleet.cpp
+++ b/Zincstep/Routing/Fleet.cpp
@@ -6,8 +6,10 @@
 
 namespace {
 
-constexpr double kSameDomainSeconds = 100e-6;
-constexpr double kUndeclaredSeconds = 50e-3;
+/// One-way delay within a failure domain, in seconds.
+constexpr double kSameDomainDelay = 100e-6;
+/// One-way delay of links that the configuration does not declare, in seconds.
+constexpr double kUndeclaredLinkDelay = 50e-3;
 
 template <class T>
 std::map<std::string, int> IndexByName(const std::vector<T>& aItems) {
@@ -26,9 +28,9 @@
 void FillLinks(const Configuration& aConfiguration,
                const std::map<std::string, int>& aDomains, Fleet& aFleet) {
   const auto count = static_cast<std::size_t>(aFleet.domains);
-  aFleet.links.assign(count * count, {kUndeclaredSeconds, 0});
+  aFleet.links.assign(count * count, {kUndeclaredLinkDelay, 0});
   for (std::size_t i = 0; i < count; ++i) {
-    aFleet.links[i * count + i] = {kSameDomainSeconds, 0};
+    aFleet.links[i * count + i] = {kSameDomainDelay, 0};
   }
   for (const Link& link : aConfiguration.links) {
     const auto from = static_cast<std::size_t>(aDomains.at(link.from));
--- a/Zincstep/Routing/FlowPlan.cpp
+++ b/Zincstep/Routing/FlowPlan.cpp
@@ -14,12 +14,13 @@
 
 namespace {
 
-constexpr double kLeastPrice = 1e-9;
-/// Paths that carry less than this share of the flow are dropped.
-constexpr double kSmallShare = 1e-3;
+/// Added to each dual price; see `UpdatePrices`.
+constexpr double kMinPrice = 1e-9;
+/// Paths with less than this share of the total flow are dropped.
+constexpr double kMinPathShare = 1e-3;
 
 std::vector<FlowGroup> MakeGroups(const Fleet& aFleet,
-                                  const std::vector<double>& aStrength) {
+                                  const std::vector<double>& aUsableShares) {
   using Key = std::tuple<int, int, int, int>;
   std::map<Key, FlowGroup> groups;
   for (std::size_t i = 0; i < aFleet.replicas.size(); ++i) {
@@ -33,7 +34,7 @@
     group.layerSeconds = replica.layerSeconds;
     group.slots = replica.slots;
     group.members.push_back(static_cast<int>(i));
-    group.strength += aStrength[i];
+    group.usableMembers += aUsableShares[i];
   }
   std::vector<FlowGroup> list;
   for (auto& [key, group] : groups) {
@@ -42,19 +43,19 @@
   return list;
 }
 
-/// Use of one resource by one token of a path.
-struct Use {
+/// Time that one token of a path uses of one resource, in seconds.
+struct ResourceUse {
   int resource = 0;
   double seconds = 0;
 };
 
-/// One column of the linear program: a path and what it uses.
+/// One column of the linear program: a path and its resource uses.
 struct Column {
   std::vector<SearchHop> hops;
-  std::vector<Use> uses;
+  std::vector<ResourceUse> uses;
 };
 
-/// The state of one computation: the program and its columns so far.
+/// State of one computation: the linear program and its columns so far.
 class FlowSolver {
  public:
   FlowSolver(const Fleet& aFleet, FlowPlan& aPlan,
@@ -66,7 +67,7 @@
       SearchItem item;
       item.layers = group.layers;
       item.domain = group.domain;
-      item.usable = group.strength > 0;
+      item.usable = group.usableMembers > 0;
       this->items.push_back(item);
     }
     this->search.Reset(this->items, aFleet.domains);
@@ -83,12 +84,12 @@
     this->plan.upperBound = std::numeric_limits<double>::infinity();
     for (int round = 0; round < this->settings.maxRounds; ++round) {
       this->SetCosts();
-      const LayerRange all{0, this->fleet.layers};
-      if (!this->search.Find(this->items, all, -1)) {
+      const LayerRange total{0, this->fleet.layers};
+      if (!this->search.Find(this->items, total, -1)) {
         this->plan.upperBound = 0;
         return;
       }
-      this->NoteUpperBound();
+      this->UpdateUpperBound();
       const double value =
           this->columns.empty() ? 0 : this->program.objectiveValue();
       if (value >= (1 - this->settings.tolerance) * this->plan.upperBound) {
@@ -96,15 +97,15 @@
       }
       this->AddColumn();
       this->program.primal(1);
-      this->TakePrices();
+      this->UpdatePrices();
     }
     this->Finish();
   }
 
  private:
-  /// Seconds of a group's time that one layer of one token takes.
+  /// Time of the group that one layer of one token uses, in seconds.
   double LayerUse(const FlowGroup& aGroup) const {
-    return aGroup.layerSeconds / (aGroup.slots * aGroup.strength);
+    return aGroup.layerSeconds / (aGroup.slots * aGroup.usableMembers);
   }
 
   double LinkLimit(std::size_t aLink) const {
@@ -126,14 +127,15 @@
     }
   }
 
-  /// Weak duality: no flow passes (sum of prices) / (cheapest path).
-  void NoteUpperBound() {
+  /// By weak duality the flow is at most (sum of prices) / (cheapest path).
+  void UpdateUpperBound() {
     double sum = 0;
     for (std::size_t i = 0; i < this->prices.size(); ++i) {
       const bool isGroup = i < this->items.size();
-      const bool counts = isGroup ? this->items[i].usable
-                                  : this->LinkLimit(i - this->items.size()) > 0;
-      sum += counts ? this->prices[i] : 0;
+      const bool isBounded = isGroup
+                                 ? this->items[i].usable
+                                 : this->LinkLimit(i - this->items.size()) > 0;
+      sum += isBounded ? this->prices[i] : 0;
     }
     if (this->search.Cost() > 0) {
       this->plan.upperBound =
@@ -141,7 +143,8 @@
     }
   }
 
-  std::vector<Use> UsesOf(const std::vector<SearchHop>& aHops) const {
+  std::vector<ResourceUse> ComputeUses(
+      const std::vector<SearchHop>& aHops) const {
     std::map<int, double> seconds;
     int domain = -1;
     for (const SearchHop& hop : aHops) {
@@ -156,7 +159,7 @@
       }
       domain = group.domain;
     }
-    std::vector<Use> uses;
+    std::vector<ResourceUse> uses;
     for (const auto& [resource, use] : seconds) {
       uses.push_back({resource, use});
     }
@@ -164,10 +167,10 @@
   }
 
   void AddColumn() {
-    Column column{this->search.Hops(), this->UsesOf(this->search.Hops())};
+    Column column{this->search.Hops(), this->ComputeUses(this->search.Hops())};
     std::vector<int> indices;
     std::vector<double> values;
-    for (const Use& use : column.uses) {
+    for (const ResourceUse& use : column.uses) {
       indices.push_back(use.resource);
       values.push_back(use.seconds);
     }
@@ -176,20 +179,20 @@
     this->columns.push_back(std::move(column));
   }
 
-  void TakePrices() {
+  void UpdatePrices() {
     const double* duals = this->program.dualRowSolution();
     for (std::size_t i = 0; i < this->prices.size(); ++i) {
-      // A trace of a price keeps the search from paths through resources
-      // that no column has used yet being all equal.
-      this->prices[i] = std::abs(duals[i]) + kLeastPrice;
+      // A minimum price breaks ties between paths through resources that no
+      // column uses yet.
+      this->prices[i] = std::abs(duals[i]) + kMinPrice;
     }
   }
 
   void Finish() {
     const double* flows = this->program.primalColumnSolution();
-    const double all = this->program.objectiveValue();
+    const double total = this->program.objectiveValue();
     for (std::size_t i = 0; i < this->columns.size(); ++i) {
-      if (flows[i] < kSmallShare * all) {
+      if (flows[i] < kMinPathShare * total) {
         continue;
       }
       FlowPath path;
@@ -197,14 +200,14 @@
       for (const SearchHop& hop : this->columns[i].hops) {
         path.hops.push_back({hop.item, hop.layers});
       }
-      this->SetStep(path);
+      this->ComputeStep(path);
       this->plan.tokensPerSecond += path.tokensPerSecond;
       this->plan.paths.push_back(std::move(path));
     }
-    this->SetWindows();
+    this->ComputeWindows();
   }
 
-  void SetStep(FlowPath& aPath) const {
+  void ComputeStep(FlowPath& aPath) const {
     int domain = -1;
     for (const FlowHop& hop : aPath.hops) {
       const FlowGroup& group =
@@ -219,18 +222,19 @@
     aPath.window = aPath.tokensPerSecond * aPath.stepSeconds;
   }
 
-  void SetWindows() {
+  void ComputeWindows() {
     for (const FlowPath& path : this->plan.paths) {
       for (const FlowHop& hop : path.hops) {
         FlowGroup& group =
             this->plan.groups[static_cast<std::size_t>(hop.group)];
-        group.memberWindow += path.window / group.strength;
+        group.memberWindow += path.window / group.usableMembers;
       }
     }
-    const auto quicker = [](const FlowPath& aLeft, const FlowPath& aRight) {
+    const auto isFaster = [](const FlowPath& aLeft, const FlowPath& aRight) {
       return aLeft.stepSeconds < aRight.stepSeconds;
     };
-    std::stable_sort(this->plan.paths.begin(), this->plan.paths.end(), quicker);
+    std::stable_sort(this->plan.paths.begin(), this->plan.paths.end(),
+                     isFaster);
   }
 
   const Fleet& fleet;
@@ -248,11 +252,11 @@
 }  // namespace
 
 FlowPlan ComputeFlowPlan(const Fleet& aFleet,
-                         const std::vector<double>& aStrength,
+                         const std::vector<double>& aUsableShares,
                          const FlowPlanSettings& aSettings) {
-  ZINCSTEP_ASSERT(aStrength.size() == aFleet.replicas.size());
+  ZINCSTEP_ASSERT(aUsableShares.size() == aFleet.replicas.size());
   FlowPlan plan;
-  plan.groups = MakeGroups(aFleet, aStrength);
+  plan.groups = MakeGroups(aFleet, aUsableShares);
   if (plan.groups.empty() || aFleet.layers == 0) {
     return plan;
   }
--- a/Zincstep/Routing/FlowPlan.h
+++ b/Zincstep/Routing/FlowPlan.h
@@ -6,7 +6,7 @@
 
 namespace zincstep {
 
-/// Upstreams with the same layers, kind and failure domain.
+/// Upstreams with the same layers, accelerator kind and failure domain.
 struct FlowGroup {
   LayerRange layers;
   int kind = 0;
@@ -15,64 +15,64 @@
   double slots = 1;
   /// Indices into the fleet's replicas.
   std::vector<int> members;
-  /// Members that can be used, slow ones counted in part.
-  double strength = 0;
-  /// Sequences that the plan keeps on one whole member at full flow.
+  /// Sum of the members' usable shares: slow members count in part.
+  double usableMembers = 0;
+  /// Sequences in flight on one fully usable member at maximum flow.
   double memberWindow = 0;
 };
 
-/// A part of a path: which group runs which layers.
+/// One hop of a path: a group and the layers that it runs.
 struct FlowHop {
   int group = 0;
   LayerRange layers;
 };
 
-/// One way through the layers with its share of the flow.
+/// A path through all layers with its share of the flow.
 struct FlowPath {
   std::vector<FlowHop> hops;
-  /// Tokens a second that the plan sends this way.
+  /// Flow of this path, in tokens per second.
   double tokensPerSecond = 0;
-  /// Seconds of one decode step along the path, without queueing.
+  /// Time of one decode step along the path without queueing, in seconds.
   double stepSeconds = 0;
-  /// Sequences in flight that carry the path's flow (Little's law).
+  /// Sequences in flight at the path's flow, by Little's law.
   double window = 0;
 };
 
-/// How much each group and path carries when the fleet runs at its limit.
+/// Flow of each group and path at the maximum throughput of the fleet.
 struct FlowPlan {
   std::vector<FlowGroup> groups;
   std::vector<FlowPath> paths;
-  /// Tokens a second of all paths together; the fleet can carry it.
+  /// Total flow of all paths, in tokens per second; feasible.
   double tokensPerSecond = 0;
-  /// Tokens a second that no plan can pass, by duality.
+  /// Upper bound of the flow by LP duality, in tokens per second.
   double upperBound = 0;
 
-  /// Whether any path covers all layers.
+  /// Whether at least one path covers all layers.
   bool HasPath() const { return !this->paths.empty(); }
 };
 
 /// Settings of the flow computation.
 struct FlowPlanSettings {
-  /// Stop once the flow is within this share of the upper bound.
+  /// Relative distance from the upper bound at which the computation stops.
   double tolerance = 0.01;
   int maxRounds = 1500;
 };
 
-/// Computes the greatest flow of tokens through a fleet.
+/// Computes the maximum flow of tokens through a fleet.
 ///
-/// Each upstream is a resource of one second of work a second, each way
-/// between domains one of its bandwidth; a path uses them by the layers it
-/// runs there. The linear program has a column for each path; columns are
-/// generated as they are needed (Dantzig and Wolfe, 1960): the prices of
-/// the present solution make the cheapest path the next column. The same
-/// prices bound the best flow from above, so that the distance to the
-/// optimum is known. As in Helix (ASPLOS 2025) the flow is the bound and
-/// the source of weights; unlike its max-flow, an upstream may run a part
-/// of the layers it holds. The simplex steps are COIN-OR CLP's.
+/// Each upstream is a resource of one second of work per second, and each link
+/// between domains one of its bandwidth; a path uses them by the layers that it
+/// runs there. The linear program has one column per path and is solved by
+/// column generation (Dantzig and Wolfe, 1960): the cheapest path at the dual
+/// prices of the current solution is the next column. The same prices give an
+/// upper bound of the flow, and so the distance to the optimum. As in Helix
+/// (ASPLOS 2025), the flow serves as a bound and as the source of weights;
+/// unlike in its max-flow, an upstream may run part of the layers that it
+/// holds. The simplex solver is COIN-OR CLP.
 ///
-/// `aStrength` gives for each replica the usable share of its speed.
+/// `aUsableShares` has the usable share of each replica's speed, from 0 to 1.
 FlowPlan ComputeFlowPlan(const Fleet& aFleet,
-                         const std::vector<double>& aStrength,
+                         const std::vector<double>& aUsableShares,
                          const FlowPlanSettings& aSettings = {});
 
 }  // namespace zincstep
--- a/Zincstep/Routing/LayeredSearch.cpp
+++ b/Zincstep/Routing/LayeredSearch.cpp
@@ -13,14 +13,15 @@
 
 void LayeredSearch::Reset(const std::vector<SearchItem>& aItems, int aDomains) {
   this->domains = aDomains;
-  this->allEnds.clear();
+  this->rangeEnds.clear();
   for (const SearchItem& item : aItems) {
-    this->allEnds.push_back(item.layers.first);
-    this->allEnds.push_back(item.layers.last);
+    this->rangeEnds.push_back(item.layers.first);
+    this->rangeEnds.push_back(item.layers.last);
   }
-  std::sort(this->allEnds.begin(), this->allEnds.end());
-  this->allEnds.erase(std::unique(this->allEnds.begin(), this->allEnds.end()),
-                      this->allEnds.end());
+  std::sort(this->rangeEnds.begin(), this->rangeEnds.end());
+  this->rangeEnds.erase(
+      std::unique(this->rangeEnds.begin(), this->rangeEnds.end()),
+      this->rangeEnds.end());
   this->linkCosts.assign(static_cast<std::size_t>(aDomains * aDomains), 0.0);
   this->entryCost.assign(static_cast<std::size_t>(aDomains), kUnreached);
   this->entryDomain.assign(static_cast<std::size_t>(aDomains), -1);
@@ -30,7 +31,7 @@
                                       LayerRange aRange) {
   this->boundaries.clear();
   this->boundaries.push_back(aRange.first);
-  for (const int end : this->allEnds) {
+  for (const int end : this->rangeEnds) {
     if (end > aRange.first && end < aRange.last) {
       this->boundaries.push_back(end);
     }
@@ -41,16 +42,17 @@
   this->states.assign(count, State{kUnreached, -1, -1, -1});
 }
 
-void LayeredSearch::EnterBoundary(int aBoundary, int aFrom) {
+void LayeredSearch::ComputeEntryCosts(int aBoundary, int aFrom) {
   for (int to = 0; to < this->domains; ++to) {
     const auto slot = static_cast<std::size_t>(to);
     this->entryCost[slot] = kUnreached;
     this->entryDomain[slot] = -1;
     if (aBoundary == 0) {
-      const bool known = aFrom >= 0;
-      this->entryCost[slot] = known ? this->linkCosts[static_cast<std::size_t>(
-                                          aFrom * this->domains + to)]
-                                    : 0.0;
+      const bool hasFrom = aFrom >= 0;
+      this->entryCost[slot] = hasFrom
+                                  ? this->linkCosts[static_cast<std::size_t>(
+                                        aFrom * this->domains + to)]
+                                  : 0.0;
       continue;
     }
     for (int from = 0; from < this->domains; ++from) {
@@ -65,16 +67,16 @@
   }
 }
 
-void LayeredSearch::Relax(const std::vector<SearchItem>& aItems,
-                          int aBoundary) {
+void LayeredSearch::RelaxEdges(const std::vector<SearchItem>& aItems,
+                               int aBoundary) {
   const int start = this->boundaries[static_cast<std::size_t>(aBoundary)];
   const int count = static_cast<int>(this->boundaries.size());
   for (std::size_t i = 0; i < aItems.size(); ++i) {
     const SearchItem& item = aItems[i];
-    const bool holds =
+    const bool canRun =
         item.layers.first <= start && start < item.layers.last && item.usable;
     const double entry = this->entryCost[static_cast<std::size_t>(item.domain)];
-    if (!holds || entry == kUnreached) {
+    if (!canRun || entry == kUnreached) {
       continue;
     }
     for (int next = aBoundary + 1; next < count; ++next) {
@@ -93,7 +95,7 @@
   }
 }
 
-bool LayeredSearch::Collect(int aLastBoundary) {
+bool LayeredSearch::CollectHops(int aLastBoundary) {
   this->hops.clear();
   int domain = 0;
   for (int other = 1; other < this->domains; ++other) {
@@ -129,10 +131,10 @@
   this->CollectBoundaries(aItems, aRange);
   const int last = static_cast<int>(this->boundaries.size()) - 1;
   for (int boundary = 0; boundary < last; ++boundary) {
-    this->EnterBoundary(boundary, aFrom);
-    this->Relax(aItems, boundary);
+    this->ComputeEntryCosts(boundary, aFrom);
+    this->RelaxEdges(aItems, boundary);
   }
-  return this->Collect(last);
+  return this->CollectHops(last);
 }
 
 }  // namespace zincstep
--- a/Zincstep/Routing/LayeredSearch.h
+++ b/Zincstep/Routing/LayeredSearch.h
@@ -6,19 +6,19 @@
 
 namespace zincstep {
 
-/// Something that can run layers: one upstream, or a group of equal ones.
+/// An upstream, or a group of equal ones, that can run a range of layers.
 struct SearchItem {
   LayerRange layers;
   int domain = 0;
-  /// Cost of each layer that it runs.
+  /// Cost per layer that it runs.
   double layerCost = 0;
-  /// Cost of using it at all.
+  /// Cost of using it, independent of the number of layers.
   double fixedCost = 0;
-  /// Skipped where it may not be used.
+  /// Whether the search may use it.
   bool usable = true;
 };
 
-/// One part of a found cover: which item runs which layers.
+/// One hop of a cover: an item and the layers that it runs.
 struct SearchHop {
   int item = 0;
   LayerRange layers;
@@ -26,33 +26,34 @@
 
 /// Finds the cheapest cover of a layer range by items and links.
 ///
-/// A shortest path over layer boundaries: a state is (boundary, domain of
-/// the last item), an edge runs layers [x, y) on one item that holds them.
-/// Only the ends of held ranges can be boundaries of a cheapest cover,
-/// since a cost is linear between them. The buffers are kept, so that a
-/// search allocates nothing once they have grown.
+/// Shortest path over layer boundaries. A state is (boundary, domain of the
+/// last item); an edge runs layers [x, y) on one item that holds them. Only the
+/// ends of the items' ranges can be boundaries of a cheapest cover, as costs
+/// are linear between them. Buffers are reused, so that searches don't allocate
+/// once these have grown.
 class LayeredSearch {
  public:
-  /// Sets the items' ranges and domains; costs may change between runs.
+  /// Sets the items' ranges and domains. Their costs may change between
+  /// searches.
   void Reset(const std::vector<SearchItem>& aItems, int aDomains);
 
-  /// Sets the cost of going from one domain to another, row by row.
+  /// Sets the link costs in row-major order, by sending domain.
   void SetLinkCosts(std::vector<double> aCosts) {
     this->linkCosts = std::move(aCosts);
   }
-  /// The costs of links, to be changed between runs.
+  /// Mutable link costs, for updates between searches.
   std::vector<double>& LinkCosts() { return this->linkCosts; }
 
-  /// Finds the cheapest cover of `aRange`; false where there is none.
+  /// Finds the cheapest cover of `aRange`; returns false if there is none.
   ///
-  /// `aFrom` is the domain that the range is entered from, or -1.
+  /// `aFrom` is the domain of the hop before the range, or -1.
   bool Find(const std::vector<SearchItem>& aItems, LayerRange aRange,
             int aFrom);
 
-  /// The cost of the cover that was found last.
+  /// Cost of the last found cover.
   double Cost() const { return this->cost; }
 
-  /// The hops of the cover that was found last, in order of layers.
+  /// Hops of the last found cover, in order of layers.
   const std::vector<SearchHop>& Hops() const { return this->hops; }
 
  private:
@@ -69,12 +70,12 @@
   }
   void CollectBoundaries(const std::vector<SearchItem>& aItems,
                          LayerRange aRange);
-  void EnterBoundary(int aBoundary, int aFrom);
-  void Relax(const std::vector<SearchItem>& aItems, int aBoundary);
-  bool Collect(int aLastBoundary);
+  void ComputeEntryCosts(int aBoundary, int aFrom);
+  void RelaxEdges(const std::vector<SearchItem>& aItems, int aBoundary);
+  bool CollectHops(int aLastBoundary);
 
   int domains = 0;
-  std::vector<int> allEnds;
+  std::vector<int> rangeEnds;
   std::vector<int> boundaries;
   std::vector<double> linkCosts;
   std::vector<State> states;
--- a/Zincstep/Routing/LoadTable.cpp
+++ b/Zincstep/Routing/LoadTable.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr int kMaxDoublings = 10;
-/// Below this a trickle of work keeps on measuring a slow upstream.
-constexpr double kLeastStrength = 0.02;
+/// Minimum share of an upstream in use, so that a slow one is still measured.
+constexpr double kMinUsableShare = 0.02;
 
 }  // namespace
 
@@ -17,29 +17,29 @@
 
 void LoadTable::OnStart(int aReplica) {
   Row& row = this->At(aReplica);
-  row.own += 1;
+  row.localSequences += 1;
   if (row.state == ReplicaState::Suspect) {
-    // One trial at a time: the next one waits for this one's outcome.
+    // The next trial has to wait for the result of this one.
     row.trialAt += this->settings.maxTrialBackoff;
   }
 }
 
 void LoadTable::OnEnd(int aReplica) {
   Row& row = this->At(aReplica);
-  ZINCSTEP_ASSERT(row.own > 0);
-  row.own -= 1;
+  ZINCSTEP_ASSERT(row.localSequences > 0);
+  row.localSequences -= 1;
 }
 
 void LoadTable::OnReport(int aReplica, double aSequences, Instant aNow) {
   Row& row = this->At(aReplica);
   row.reported = aSequences;
-  row.ownAtReport = row.own;
+  row.localAtReport = row.localSequences;
   row.hasReport = true;
   row.reportedAt = aNow;
   if (row.state == ReplicaState::Suspect && aNow >= row.trialAt) {
-    // It answers, and its wait is over: it comes back as a new one does,
-    // with a share that grows. The count of failures stays until a stream
-    // has ended well there, so that the next failure waits twice as long.
+    // The upstream responds and its backoff is over: it warms up like a new
+    // one. `failures` is reset only by a successful sequence, so that the
+    // backoff doubles if it fails before.
     row.state = ReplicaState::Up;
     row.stepRatio = 1;
     this->SetNew(aReplica, aNow);
@@ -57,12 +57,12 @@
     return;
   }
   const int doublings = std::min(row.failures, kMaxDoublings);
-  const Micros wait =
+  const Micros backoff =
       std::min(this->settings.initialTrialBackoff * (1 << doublings),
                this->settings.maxTrialBackoff);
   row.state = ReplicaState::Suspect;
   row.failures += 1;
-  row.trialAt = aNow + wait;
+  row.trialAt = aNow + backoff;
 }
 
 void LoadTable::OnUnreachable(int aReplica, Instant aNow) {
@@ -71,7 +71,7 @@
     return;
   }
   row.state = ReplicaState::Suspect;
-  row.trialAt = std::max(row.trialAt, aNow + this->settings.unreachableWait);
+  row.trialAt = std::max(row.trialAt, aNow + this->settings.unreachableBackoff);
 }
 
 void LoadTable::OnSuccess(int aReplica) {
@@ -95,9 +95,9 @@
   row = aOther.At(aOtherReplica);
   row.holdsVersion = holdsVersion;
   row.paused = paused;
-  // Sequences of the earlier table end there; reports show them here.
-  row.own = 0;
-  row.ownAtReport = 0;
+  // Sequences of the earlier table end there; here they are part of reports.
+  row.localSequences = 0;
+  row.localAtReport = 0;
 }
 
 void LoadTable::SetNew(int aReplica, Instant aNow) {
@@ -108,20 +108,22 @@
 
 double LoadTable::Estimate(int aReplica, Instant aNow) const {
   const Row& row = this->At(aReplica);
-  const bool fresh =
-      row.hasReport && aNow - row.reportedAt <= this->settings.reportLife;
-  if (!fresh) {
-    // Without a report, the others are taken to load it as this one does.
-    return static_cast<double>(row.own) * this->daemons;
+  const bool isFresh =
+      row.hasReport && aNow - row.reportedAt <= this->settings.maxReportAge;
+  if (!isFresh) {
+    // Without a recent report, all daemons are assumed to have equal load.
+    return static_cast<double>(row.localSequences) * this->daemons;
   }
-  const double others = std::max(0.0, row.reported - row.ownAtReport);
-  return others + row.own;
+  const double remoteSequences =
+      std::max(0.0, row.reported - row.localAtReport);
+  return remoteSequences + row.localSequences;
 }
 
 double LoadTable::DampedShare(int aReplica, Instant aNow) const {
-  const int own = this->At(aReplica).own;
-  const double others = this->Estimate(aReplica, aNow) - own;
-  return own + others / this->daemons;
+  const int localSequences = this->At(aReplica).localSequences;
+  const double remoteSequences =
+      this->Estimate(aReplica, aNow) - localSequences;
+  return localSequences + remoteSequences / this->daemons;
 }
 
 bool LoadTable::IsUsable(int aReplica, Instant aNow) const {
@@ -145,15 +147,15 @@
   if (!this->IsUsable(aReplica, aNow)) {
     return 0;
   }
-  double strength = 1 / std::max(1.0, row.stepRatio);
+  double share = 1 / std::max(1.0, row.stepRatio);
   if (row.state == ReplicaState::Suspect) {
-    strength = kLeastStrength;
+    share = kMinUsableShare;
   }
   if (row.isNew) {
     const double age = ToSeconds(aNow - row.newSince);
-    strength *= std::clamp(age / ToSeconds(this->settings.warmUp), 0.1, 1.0);
+    share *= std::clamp(age / ToSeconds(this->settings.warmUp), 0.1, 1.0);
   }
-  return std::max(strength, kLeastStrength);
+  return std::max(share, kMinUsableShare);
 }
 
 }  // namespace zincstep
--- a/Zincstep/Routing/LoadTable.h
+++ b/Zincstep/Routing/LoadTable.h
@@ -6,13 +6,13 @@
 
 namespace zincstep {
 
-/// Whether an upstream may get work, and why not.
+/// Whether an upstream may get new work.
 enum class ReplicaState {
-  /// Takes work.
+  /// Gets new work.
   Up,
-  /// Failed or slowed just now; gets single trials after a wait.
+  /// Failed or slowed down lately; gets single trials after a backoff.
   Suspect,
-  /// Leaves by the VM list or a peer's word; never gets new work again.
+  /// Leaving by the VM list or a peer's report; gets no new work any more.
   Leaving,
 };
 
@@ -24,94 +24,97 @@
 
 /// Settings of the load table.
 struct LoadTableSettings {
-  /// After this time a report counts for nothing.
-  Micros reportLife = 5s;
-  /// First wait before a suspect gets a trial; doubles with each failure.
+  /// Age above which a report is ignored.
+  Micros maxReportAge = 5s;
+  /// Backoff before the first trial of a suspect; doubles with each failure.
   Micros initialTrialBackoff = 500ms;
   Micros maxTrialBackoff = 30s;
-  /// Wait after a question for load that got no answer; longer than the
-  /// time between two questions, so that callers' requests are no probes.
-  Micros unreachableWait = 2500ms;
-  /// Time over which a new upstream's share grows to the whole.
+  /// Backoff after a load query without response. Longer than the query
+  /// interval, so that callers' requests are not used as probes.
+  Micros unreachableBackoff = 2500ms;
+  /// Time over which the usable share of a new upstream grows to 1.
   Micros warmUp = 10s;
-  /// Weight of a new sample in the step-time average.
+  /// Weight of a new sample in the moving average of step times.
   double stepWeight = 0.1;
 };
 
-/// What one daemon knows of the load and health of a fleet's upstreams.
+/// One daemon's view of the load and health of a fleet's upstreams.
 ///
-/// Own work is known at once; the load that others cause is known from
-/// reports that lag. The estimate adds both: the others' part is what the
-/// last report held beyond this daemon's own work at that time.
+/// This daemon's sequences are known at once; the load by other daemons only
+/// from delayed reports. The estimate is the sum of both, where the other
+/// daemons' part is the last report less this daemon's sequences at its time.
 class LoadTable {
  public:
   LoadTable(std::size_t aReplicas, LoadTableSettings aSettings);
 
-  /// A sequence of this daemon starts on the upstream.
+  /// Records that a sequence of this daemon starts on the upstream.
   void OnStart(int aReplica);
-  /// A sequence of this daemon has left the upstream.
+  /// Records that a sequence of this daemon on the upstream has ended.
   void OnEnd(int aReplica);
-  /// The upstream has reported its sequences, queued ones included.
+  /// Records an upstream's report of its sequences, including queued ones.
   void OnReport(int aReplica, double aSequences, Instant aNow);
-  /// A hop took `aRatio` times the declared step.
+  /// Records a step of the upstream that took `aRatio` times the declared time.
   void OnStep(int aReplica, double aRatio);
-  /// The upstream failed, hung or slowed: no work until a trial succeeds.
+  /// Records that the upstream failed, hung or slowed down. It gets no work
+  /// until a trial succeeds or a report arrives after the backoff.
   void OnFailure(int aReplica, Instant aNow);
-  /// A question for its load got no answer: no trial until one does.
+  /// Records a load query without response: no trial for the backoff.
   void OnUnreachable(int aReplica, Instant aNow);
-  /// A hop on the upstream went well.
+  /// Records that a sequence on the upstream succeeded.
   void OnSuccess(int aReplica);
-  /// The upstream leaves; this cannot be taken back.
+  /// Marks the upstream as leaving; irreversible.
   void SetLeaving(int aReplica);
-  /// Whether the upstream holds the version that is planned for.
+  /// Sets whether the upstream holds the planned model version.
   void SetHoldsVersion(int aReplica, bool aHolds) {
     this->At(aReplica).holdsVersion = aHolds;
   }
-  /// Keeps new work away while a change to the upstream is under way.
+  /// Sets whether new work is paused, during a change to the upstream.
   void SetPaused(int aReplica, bool aPaused) {
     this->At(aReplica).paused = aPaused;
   }
-  /// Takes over what was learnt of an upstream in an earlier table.
+  /// Copies the state of an upstream from an earlier table.
   void Inherit(int aReplica, const LoadTable& aOther, int aOtherReplica);
-  /// The upstream is new: its share grows over the warm-up.
+  /// Starts the warm-up of a new upstream.
   void SetNew(int aReplica, Instant aNow);
   /// Number of daemons that share the fleet, this one included.
   void SetDaemons(int aDaemons) { this->daemons = aDaemons; }
 
   int Daemons() const { return this->daemons; }
   /// Sequences of this daemon on the upstream.
-  int Own(int aReplica) const { return this->At(aReplica).own; }
-  /// Sequences on the upstream by all daemons, as well as is known.
+  int LocalSequences(int aReplica) const {
+    return this->At(aReplica).localSequences;
+  }
+  /// Estimated sequences of all daemons on the upstream.
   double Estimate(int aReplica, Instant aNow) const;
-  /// This daemon's share of the upstream's load, as well as is known: its
-  /// own sequences and an equal part of the others'.
+  /// This daemon's estimated share of the upstream's load: its own sequences
+  /// and an equal part of those of the other daemons.
   ///
-  /// Deciders with the same lagging reports all move at once; dividing what
-  /// is reported by their number keeps the sum of their moves as large as
-  /// the difference that they see, where the whole of it would make a herd.
+  /// Daemons with the same delayed reports all react at once. Dividing the
+  /// reported load by their number keeps the sum of their reactions as large as
+  /// the difference that they see, and so prevents a herd effect.
   double DampedShare(int aReplica, Instant aNow) const;
-  /// Observed step over declared step, averaged.
+  /// Moving average of observed over declared step time.
   double StepRatio(int aReplica) const { return this->At(aReplica).stepRatio; }
   ReplicaState State(int aReplica) const { return this->At(aReplica).state; }
-  /// Whether new work may go there now, counting a due trial as yes.
+  /// Whether new work may be sent to the upstream now, including a due trial.
   bool IsUsable(int aReplica, Instant aNow) const;
-  /// Whether it could run work at all, suspected or not.
-  bool IsPossible(int aReplica) const {
+  /// Whether the upstream can run work, ignoring suspicion.
+  bool CanRun(int aReplica) const {
     const Row& row = this->At(aReplica);
     return row.holdsVersion && !row.paused &&
            row.state != ReplicaState::Leaving;
   }
-  /// Whether work there now would be a trial of a suspect.
+  /// Whether new work on the upstream would be the trial of a suspect.
   bool IsTrial(int aReplica) const {
     return this->At(aReplica).state == ReplicaState::Suspect;
   }
-  /// Share of the declared speed that plans may count on, from 0 to 1.
+  /// Usable share of the declared speed, from 0 to 1.
   double UsableShare(int aReplica, Instant aNow) const;
 
  private:
   struct Row {
-    int own = 0;
-    int ownAtReport = 0;
+    int localSequences = 0;
+    int localAtReport = 0;
     double reported = 0;
     bool hasReport = false;
     Instant reportedAt;
--- a/Zincstep/Routing/PrefixTable.cpp
+++ b/Zincstep/Routing/PrefixTable.cpp
@@ -17,7 +17,7 @@
 }
 
 void PrefixTable::Touch(Entry& aEntry) {
-  this->order.splice(this->order.begin(), this->order, aEntry.place);
+  this->recency.splice(this->recency.begin(), this->recency, aEntry.position);
 }
 
 void PrefixTable::RecordPrefix(const std::vector<std::uint64_t>& aHashes,
@@ -30,10 +30,10 @@
       continue;
     }
     if (this->entries.size() >= this->capacity) {
-      this->Forget(this->order.back());
+      this->Remove(this->recency.back());
     }
-    this->order.push_front(hash);
-    this->entries.emplace(hash, Entry{aChain, this->order.begin()});
+    this->recency.push_front(hash);
+    this->entries.emplace(hash, Entry{aChain, this->recency.begin()});
   }
 }
 
@@ -51,10 +51,10 @@
   return nullptr;
 }
 
-void PrefixTable::Forget(std::uint64_t aHash) {
+void PrefixTable::Remove(std::uint64_t aHash) {
   const auto found = this->entries.find(aHash);
   if (found != this->entries.end()) {
-    this->order.erase(found->second.place);
+    this->recency.erase(found->second.position);
     this->entries.erase(found);
   }
 }
--- a/Zincstep/Routing/PrefixTable.h
+++ b/Zincstep/Routing/PrefixTable.h
@@ -13,40 +13,42 @@
 
 /// Bytes of a prompt in one block of the prefix table.
 inline constexpr std::size_t kPrefixBlockBytes = 64;
-/// Bytes that one token stands for, where only the text is known.
+/// Assumed bytes per token, as only the text is known.
 inline constexpr std::size_t kBytesPerToken = 4;
 
-/// Hashes of a prompt's leading blocks, each over all blocks before it.
+/// Returns the hashes of a prompt's blocks, each also over all blocks before
+/// it.
 ///
-/// The organisation is part of every hash. Two organisations with the same
-/// prompt have different hashes, so that neither can learn from timing
-/// what the other has asked.
+/// Every hash includes the organisation, so that organisations can't learn each
+/// other's prompts from timing. An incomplete last block is ignored.
 std::vector<std::uint64_t> PrefixHashes(const std::string& aOrganisation,
                                         const std::string& aModelVersion,
                                         std::string_view aPrompt);
 
-/// Remembers which chain ran which prefix last; a hint, never a promise.
+/// LRU table of the chain that last ran a prefix. Only a hint: the caches may
+/// have dropped it.
 class PrefixTable {
  public:
   explicit PrefixTable(std::size_t aCapacity) : capacity(aCapacity) {}
 
-  /// Notes that `aChain` has run a prompt with these block hashes.
+  /// Records that `aChain` ran a prompt with these block hashes.
   void RecordPrefix(const std::vector<std::uint64_t>& aHashes,
                     const Chain& aChain);
 
-  /// The chain that shares the longest beginning, if any does.
+  /// Returns the chain with the longest matching prefix, or null, and the
+  /// length of that prefix.
   const Chain* Find(const std::vector<std::uint64_t>& aHashes,
                     int& aMatchedTokens);
 
-  /// Forgets a prefix that an upstream says it has dropped.
-  void Forget(std::uint64_t aHash);
+  /// Removes a prefix, if the table has it.
+  void Remove(std::uint64_t aHash);
 
   std::size_t Size() const { return this->entries.size(); }
 
  private:
   struct Entry {
     Chain chain;
-    std::list<std::uint64_t>::iterator place;
+    std::list<std::uint64_t>::iterator position;
   };
 
   void Touch(Entry& aEntry);
@@ -54,7 +56,7 @@
   std::size_t capacity;
   std::unordered_map<std::uint64_t, Entry> entries;
   /// Most recently used first.
-  std::list<std::uint64_t> order;
+  std::list<std::uint64_t> recency;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Routing/ServiceBalancer.cpp
+++ b/Zincstep/Routing/ServiceBalancer.cpp
@@ -16,14 +16,14 @@
 }  // namespace
 
 ServiceBalancer::ServiceBalancer(std::vector<ServiceReplica> aReplicas,
-                                 std::string aOwnDomain,
+                                 std::string aLocalDomain,
                                  ServiceBalancerSettings aSettings)
     : replicas(std::move(aReplicas)),
-      ownDomain(std::move(aOwnDomain)),
+      localDomain(std::move(aLocalDomain)),
       settings(aSettings),
       rows(this->replicas.size()) {
   for (Row& row : this->rows) {
-    row.latency = static_cast<double>(aSettings.firstLatency.count());
+    row.latency = static_cast<double>(aSettings.initialLatency.count());
   }
 }
 
@@ -39,9 +39,9 @@
     (this->IsEjected(replica, aNow) ? ejected : usable).push_back(replica);
   }
   const auto all = static_cast<double>(usable.size() + ejected.size());
-  const bool tooMany =
-      static_cast<double>(ejected.size()) > this->settings.maxEjected * all;
-  if (tooMany || usable.empty()) {
+  const bool isLimitExceeded = static_cast<double>(ejected.size()) >
+                               this->settings.maxEjectedShare * all;
+  if (isLimitExceeded || usable.empty()) {
     usable.insert(usable.end(), ejected.begin(), ejected.end());
   }
   return usable;
@@ -53,11 +53,11 @@
   const double decayed =
       row.latency * std::exp(-age / ToSeconds(this->settings.decay));
   const auto& replica = this->replicas[static_cast<std::size_t>(aReplica)];
-  const double way =
-      replica.failureDomain == this->ownDomain
+  const double penalty =
+      replica.failureDomain == this->localDomain
           ? 0
-          : static_cast<double>(this->settings.otherDomainCost.count());
-  return (decayed + way) * (row.outstanding + 1);
+          : static_cast<double>(this->settings.remoteDomainPenalty.count());
+  return (decayed + penalty) * (row.outstanding + 1);
 }
 
 std::optional<int> ServiceBalancer::Choose(Instant aNow, Random& aRandom,
@@ -75,28 +75,28 @@
   this->At(aReplica).outstanding += 1;
 }
 
-void ServiceBalancer::NoteLatency(Row& aRow, Micros aLatency, Instant aNow) {
+void ServiceBalancer::RecordLatency(Row& aRow, Micros aLatency, Instant aNow) {
   const auto sample = static_cast<double>(aLatency.count());
   const double age = ToSeconds(aNow - aRow.latencyAt);
-  const double keep = std::exp(-age / ToSeconds(this->settings.decay));
+  const double oldWeight = std::exp(-age / ToSeconds(this->settings.decay));
   aRow.latency = sample > aRow.latency
                      ? sample
-                     : aRow.latency * keep + sample * (1 - keep);
+                     : aRow.latency * oldWeight + sample * (1 - oldWeight);
   aRow.latencyAt = aNow;
 }
 
-void ServiceBalancer::NoteFailure(Row& aRow, Instant aNow) {
+void ServiceBalancer::RecordFailure(Row& aRow, Instant aNow) {
   aRow.failures += 1;
   if (aRow.failures < this->settings.failuresToEject) {
     return;
   }
   const int doublings = std::min(aRow.ejections, kMaxDoublings);
-  const Micros span =
+  const Micros duration =
       std::min(this->settings.initialEjection * (1 << doublings),
                this->settings.maxEjection);
-  aRow.ejectedUntil = aNow + span;
+  aRow.ejectedUntil = aNow + duration;
   aRow.ejections += 1;
-  // One more failure after the ejection is enough for the next one.
+  // A single failure after the ejection causes the next one.
   aRow.failures = this->settings.failuresToEject - 1;
 }
 
@@ -106,12 +106,12 @@
   ZINCSTEP_ASSERT(row.outstanding > 0);
   row.outstanding -= 1;
   if (aFailed) {
-    this->NoteFailure(row, aNow);
+    this->RecordFailure(row, aNow);
     return;
   }
   row.failures = 0;
   row.ejections = 0;
-  this->NoteLatency(row, aLatency, aNow);
+  this->RecordLatency(row, aLatency, aNow);
 }
 
 }  // namespace zincstep
--- a/Zincstep/Routing/ServiceBalancer.h
+++ b/Zincstep/Routing/ServiceBalancer.h
@@ -10,38 +10,40 @@
 
 /// Settings of a service balancer.
 struct ServiceBalancerSettings {
-  /// Time over which a peak of latency decays.
+  /// Time constant by which the latency average decays.
   Micros decay = 5s;
-  Micros firstLatency = 5ms;
-  /// Failures in a row that eject a replica.
+  /// Assumed latency before the first sample.
+  Micros initialLatency = 5ms;
+  /// Consecutive failures that eject a replica.
   int failuresToEject = 3;
   Micros initialEjection = 1s;
   Micros maxEjection = 30s;
-  /// Share of the replicas that may be ejected.
-  double maxEjected = 0.5;
-  /// A replica elsewhere counts as this much more latency.
-  Micros otherDomainCost = 2ms;
+  /// Maximum share of ejected replicas; above it, ejections are ignored.
+  double maxEjectedShare = 0.5;
+  /// Latency added to replicas of another failure domain.
+  Micros remoteDomainPenalty = 2ms;
 };
 
 /// Chooses replicas of a plain service.
 ///
-/// Power of two choices over peak-EWMA latency times outstanding calls, as
-/// in Finagle and Linkerd: a latency above the average counts at once, and
-/// one below it only as time passes. Failing replicas are ejected for a
-/// growing time, but never more than a share of them: if most fail, the
-/// fault lies elsewhere.
+/// Power of two choices over peak-EWMA latency times outstanding calls, as in
+/// Finagle and Linkerd: a latency above the average replaces it at once, one
+/// below it lowers it over time. Failing replicas are ejected for a growing
+/// time, but only up to a share of them: if most fail, the cause lies
+/// elsewhere.
 class ServiceBalancer {
  public:
-  ServiceBalancer(std::vector<ServiceReplica> aReplicas, std::string aOwnDomain,
-                  ServiceBalancerSettings aSettings);
+  ServiceBalancer(std::vector<ServiceReplica> aReplicas,
+                  std::string aLocalDomain, ServiceBalancerSettings aSettings);
 
-  /// A replica for a call, without `aExcluded`; none where all are gone.
+  /// Chooses a replica that is not in `aExcluded`; empty if none is left.
   std::optional<int> Choose(Instant aNow, Random& aRandom,
                             const std::vector<int>& aExcluded);
+  /// Records the start of a call.
   void OnStart(int aReplica);
-  /// A call has ended; `aFailed` where the replica is to blame.
+  /// Records the end of a call; `aFailed` if the replica is at fault.
   void OnEnd(int aReplica, Micros aLatency, bool aFailed, Instant aNow);
-  /// The replica leaves; this cannot be taken back.
+  /// Marks the replica as leaving; irreversible.
   void SetLeaving(int aReplica) { this->At(aReplica).leaving = true; }
 
   const std::vector<ServiceReplica>& Replicas() const { return this->replicas; }
@@ -68,13 +70,13 @@
     return this->rows.at(static_cast<std::size_t>(aReplica));
   }
   double Cost(int aReplica, Instant aNow) const;
-  void NoteLatency(Row& aRow, Micros aLatency, Instant aNow);
-  void NoteFailure(Row& aRow, Instant aNow);
+  void RecordLatency(Row& aRow, Micros aLatency, Instant aNow);
+  void RecordFailure(Row& aRow, Instant aNow);
   std::vector<int> Candidates(Instant aNow,
                               const std::vector<int>& aExcluded) const;
 
   std::vector<ServiceReplica> replicas;
-  std::string ownDomain;
+  std::string localDomain;
   ServiceBalancerSettings settings;
   std::vector<Row> rows;
 };
