--- a/Zincstep/Routes/RouteTable.cpp
+++ b/Zincstep/Routes/RouteTable.cpp
@@ -68,10 +68,10 @@
   for (const RouteTarget& target : aRoute.targets) {
     total += target.weight;
   }
-  double left = aDraw * total;
+  double remaining = aDraw * total;
   for (const RouteTarget& target : aRoute.targets) {
-    left -= target.weight;
-    if (left < 0) {
+    remaining -= target.weight;
+    if (remaining < 0) {
       return this->FindService(target.service);
     }
   }
--- a/Zincstep/Routes/RouteTable.h
+++ b/Zincstep/Routes/RouteTable.h
@@ -8,25 +8,25 @@
 
 namespace zincstep {
 
-/// A configuration with its look-ups; immutable, swapped as a whole.
+/// An indexed configuration; immutable, replaced as a unit.
 class RouteTable {
  public:
   explicit RouteTable(RouteConfiguration aConfiguration);
   RouteTable(const RouteTable&) = delete;
   RouteTable& operator=(const RouteTable&) = delete;
 
-  /// The host's route with the longest prefix of the path, or null.
+  /// Returns the route with the longest matching path prefix, or null.
   ///
-  /// A port in `aHost` and a query in `aTarget` play no part.
+  /// Ignores a port in `aHost` and a query in `aTarget`.
   const Route* FindRoute(std::string_view aHost,
                          std::string_view aTarget) const;
-  /// The organisation that holds `aKey`, or null.
+  /// Returns the organisation that owns the API key, or null.
   const RoutedOrganisation* FindOrganisation(std::string_view aKey) const;
-  /// The service named `aName`, or null.
+  /// Returns the service named `aName`, or null.
   const RoutedService* FindService(std::string_view aName) const;
-  /// One of the route's services, by their weights; `aDraw` is in [0, 1).
+  /// Chooses a service of the route by weight; `aDraw` is random in [0, 1).
   const RoutedService* Choose(const Route& aRoute, double aDraw) const;
-  /// Whether any key is declared: only then do routes ask for one.
+  /// Whether any organisation is configured; only then do routes need API keys.
   bool HasOrganisations() const {
     return !this->configuration.organisations.empty();
   }
--- a/Zincstep/Routes/Routes.h
+++ b/Zincstep/Routes/Routes.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// \file
-/// Public header of the routes library: which request goes to which
-/// service, under which limits, and whose it is.
+/// Public header of the routes library, which maps requests to services, limits
+/// and organisations.
 
 #include "Zincstep/Routes/RouteConfiguration.h"
 #include "Zincstep/Routes/RouteTable.h"
