--- a/UnitTests/PeerTransportTest.cpp
+++ b/UnitTests/PeerTransportTest.cpp
@@ -149,7 +149,7 @@
   void Receive_OnceTaken_GoesOn() {
     this->Receive_ListenerThatDoesNotTake_IsHeldUp();
     const std::size_t before = listener.bytes;
-    transport->OnTaken(transport->Traffic().unconsumedBytes);
+    transport->OnConsumed(transport->Traffic().unconsumedBytes);
     reader->Send(AddressOf(*transport), Text(100));
     WaitFor([&] { return listener.bytes > before; });
   }
--- a/Zincstep/Edge/PeerProtocol.cpp
+++ b/Zincstep/Edge/PeerProtocol.cpp
@@ -136,7 +136,7 @@
 void PeerProtocol::OnPeerData(std::string aMessage) {
   // Runs on the transport's thread; all state belongs to the loop's thread.
   asio::post(this->loop, [this, text = std::move(aMessage)] {
-    this->transport->OnTaken(text.size());
+    this->transport->OnConsumed(text.size());
     const auto message = ReadEdgePeerMessage(text);
     if (!message) {
       LogWarning("peer_message_refused", {{"reason", message.error().message}});
--- a/Zincstep/Net/ConnectionPool.cpp
+++ b/Zincstep/Net/ConnectionPool.cpp
@@ -79,7 +79,7 @@
   }
 }
 
-void ConnectionPool::Distrust(const std::string& aUpstream) {
+void ConnectionPool::Quarantine(const std::string& aUpstream) {
   this->byUpstream.erase(aUpstream);
   this->quarantinedUntil[aUpstream] =
       this->clock.Now() + this->settings.quarantineTime;
--- a/Zincstep/Net/ConnectionPool.h
+++ b/Zincstep/Net/ConnectionPool.h
@@ -45,7 +45,7 @@
   void Put(const std::string& aUpstream, TcpSocket aSocket,
            const HttpHead& aHead);
   /// A connection to that upstream was unfit, or it does not answer.
-  void Distrust(const std::string& aUpstream);
+  void Quarantine(const std::string& aUpstream);
   /// Closes all that rest: nobody knows what has become of them.
   void Clear() { this->byUpstream.clear(); }
   /// Connections that rest.
--- a/Zincstep/Net/SingleCall.cpp
+++ b/Zincstep/Net/SingleCall.cpp
@@ -104,7 +104,7 @@
 
   void GiveUp() {
     if (this->kept) {
-      this->kept->pool->Distrust(this->kept->upstream);
+      this->kept->pool->Quarantine(this->kept->upstream);
     }
     this->call->Cancel();
     this->Finish(Fail(this->call->HasSent() ? ErrorKind::DeadlineDuringRun
@@ -283,7 +283,7 @@
   // request the time until that shows.
   LogInfo("kept_connection_unfit",
           {{"upstream", this->kept->upstream}, {"reason", aReason}});
-  this->kept->pool->Distrust(this->kept->upstream);
+  this->kept->pool->Quarantine(this->kept->upstream);
 }
 
 void SingleCall::End(SingleCallEnd aEnd) {
--- a/Zincstep/Peer/AsioPeerTransport.cpp
+++ b/Zincstep/Peer/AsioPeerTransport.cpp
@@ -440,7 +440,7 @@
         });
   }
 
-  void OnTaken(std::size_t aBytes) override {
+  void OnConsumed(std::size_t aBytes) override {
     this->traffic.unconsumedBytes -= aBytes;
   }
 
--- a/Zincstep/Peer/PeerTransport.h
+++ b/Zincstep/Peer/PeerTransport.h
@@ -44,8 +44,8 @@
   /// read, and what it is told is out of date when it does.
   std::size_t maxTotalQueuedBytes = 64 << 20;
   /// Bytes of messages that the listener has not taken yet, see
-  /// `PeerTransport::OnTaken`. Beyond that nothing more is read, which holds up
-  /// those that send. 0: without bound, for a listener that does not tell.
+  /// `PeerTransport::OnConsumed`. Beyond that nothing more is read, which holds
+  /// up those that send. 0: without bound, for a listener that does not tell.
   std::size_t maxUnconsumedBytes = 0;
   Micros initialReconnectBackoff = 100ms;
   Micros maxReconnectBackoff = 5s;
@@ -98,7 +98,7 @@
     this->Send(aAddress, PeerFrame{std::move(aMessage), {}});
   }
   /// The listener is done with a message of so many bytes.
-  virtual void OnTaken(std::size_t aBytes) = 0;
+  virtual void OnConsumed(std::size_t aBytes) = 0;
   /// Counts so far.
   virtual PeerTraffic Traffic() const = 0;
 };
--- a/Zincstep/Relay/StreamRepair.cpp
+++ b/Zincstep/Relay/StreamRepair.cpp
@@ -75,7 +75,7 @@
     // The call limit permits no probe that could show whether it is alive: a
     // connection is also accepted for a stopped process, on which its streams
     // would stall until their deadline.
-    this->context.connections.Distrust(
+    this->context.connections.Quarantine(
         this->upstream->Entry().Incarnation().Text());
     this->Resume("no events, and the first upstream can't be queried");
     return;
@@ -187,7 +187,8 @@
   }
   const Micros limit = this->context.settings.silentConnectionTimeout;
   if (aReport->queued == 0 && this->TimeSinceProgress(now) >= limit) {
-    this->context.connections.Distrust(aUpstream->Entry().Incarnation().Text());
+    this->context.connections.Quarantine(
+        aUpstream->Entry().Incarnation().Text());
     this->Resume("its connection delivers nothing");
   }
 }
