--- a/UnitTests/EdgePeerMessageTest.cpp
+++ b/UnitTests/EdgePeerMessageTest.cpp
@@ -30,7 +30,7 @@
   static EdgePeerMessage ReadBack(EdgePeerBody aBody) {
     const auto read = ReadEdgePeerMessage(
         WriteEdgePeerMessage({"d1", "10.0.0.1:7000", std::move(aBody)})
-            .Whole());
+            .ToString());
     CPPUNIT_ASSERT(read.has_value());
     CPPUNIT_ASSERT_EQUAL(std::string("d1"), read->sender);
     CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:7000"), read->replyTo);
@@ -211,7 +211,7 @@
     const std::string text =
         WriteEdgePeerMessage(
             {"d1", "10.0.0.1:7000", WorkGossip{{{1, 2, false, 1}}}})
-            .Whole();
+            .ToString();
     for (std::size_t size = 0; size < text.size(); size += 4) {
       CPPUNIT_ASSERT(!ReadEdgePeerMessage(text.substr(0, size)).has_value());
     }
--- a/Zincstep/Core/Channel.h
+++ b/Zincstep/Core/Channel.h
@@ -16,7 +16,7 @@
 class WakeEvent {
  public:
   /// Wakes the waiting thread, or lets its next wait return at once.
-  void Ring() {
+  void Notify() {
     if (this->rung.exchange(true, std::memory_order_acq_rel)) {
       return;
     }
@@ -61,7 +61,7 @@
       return false;
     }
     (void)owned.release();
-    this->doorbell.Ring();
+    this->doorbell.Notify();
     return true;
   }
 
--- a/Zincstep/Core/TaskThread.h
+++ b/Zincstep/Core/TaskThread.h
@@ -24,7 +24,7 @@
   /// Waits for the task that runs; those that wait are dropped.
   ~TaskThread() {
     this->stopping = true;
-    this->doorbell.Ring();
+    this->doorbell.Notify();
     this->thread.join();
   }
 
--- a/Zincstep/Entry/ConfigWatcher.cpp
+++ b/Zincstep/Entry/ConfigWatcher.cpp
@@ -29,15 +29,15 @@
 
 ConfigWatcher::~ConfigWatcher() {
   this->stopping = true;
-  this->watchBell.Ring();
-  this->offerBell.Ring();
+  this->watchBell.Notify();
+  this->offerBell.Notify();
   this->watchThread.join();
   this->offerThread.join();
 }
 
 void ConfigWatcher::SetReader(bool aIsReader) {
   if (this->isReader.exchange(aIsReader) != aIsReader && aIsReader) {
-    this->watchBell.Ring();
+    this->watchBell.Notify();
   }
 }
 
--- a/Zincstep/Entry/DomainController.cpp
+++ b/Zincstep/Entry/DomainController.cpp
@@ -49,7 +49,7 @@
 
 DomainController::~DomainController() {
   this->stopping = true;
-  this->doorbell.Ring();
+  this->doorbell.Notify();
   this->thread.join();
 }
 
--- a/Zincstep/Peer/AsioPeerTransport.cpp
+++ b/Zincstep/Peer/AsioPeerTransport.cpp
@@ -506,7 +506,7 @@
   return size;
 }
 
-std::string PeerFrame::Whole() const {
+std::string PeerFrame::ToString() const {
   std::string text = this->head;
   for (const SharedBytes& bytes : this->shared) {
     text += *bytes;
--- a/Zincstep/Peer/PeerTransport.h
+++ b/Zincstep/Peer/PeerTransport.h
@@ -20,7 +20,7 @@
 
   std::size_t Size() const;
   /// All of it in one piece.
-  std::string Whole() const;
+  std::string ToString() const;
 };
 
 /// Is told of messages; called on the hub's own thread.
