--- a/Zincstep/Peer/AsioPeerTransport.cpp
+++ b/Zincstep/Peer/AsioPeerTransport.cpp
@@ -17,29 +17,30 @@
 using Tcp = asio::ip::tcp;
 
 constexpr std::size_t kLengthBytes = 4;
-/// Between looks at whether the listener has taken enough to read on.
-constexpr Micros kReadPause = 10ms;
+/// Time between checks whether the listener has consumed enough to read on.
+constexpr Micros kConsumptionCheckInterval = 10ms;
 
-std::array<unsigned char, kLengthBytes> WriteLength(std::size_t aLength) {
+std::array<unsigned char, kLengthBytes> EncodeLength(std::size_t aLength) {
   return {static_cast<unsigned char>(aLength),
           static_cast<unsigned char>(aLength >> 8),
           static_cast<unsigned char>(aLength >> 16),
           static_cast<unsigned char>(aLength >> 24)};
 }
 
-std::size_t ReadLength(const std::array<unsigned char, kLengthBytes>& aBytes) {
+std::size_t DecodeLength(
+    const std::array<unsigned char, kLengthBytes>& aBytes) {
   return static_cast<std::size_t>(aBytes[0]) |
          static_cast<std::size_t>(aBytes[1]) << 8 |
          static_cast<std::size_t>(aBytes[2]) << 16 |
          static_cast<std::size_t>(aBytes[3]) << 24;
 }
 
-std::string TextOf(const Tcp::endpoint& aEndpoint) {
+std::string ToString(const Tcp::endpoint& aEndpoint) {
   return aEndpoint.address().to_string() + ":" +
          std::to_string(aEndpoint.port());
 }
 
-/// Counters that several threads read.
+/// Counters that are read from several threads.
 struct SharedTraffic {
   std::atomic<std::uint64_t> bytesOut{0};
   std::atomic<std::uint64_t> bytesIn{0};
@@ -51,15 +52,15 @@
   std::atomic<std::uint64_t> unconsumedBytes{0};
 };
 
-/// Bytes that wait to be sent; what several peers are sent counts once.
-class HeldBytes {
+/// Counts the bytes that are queued for all peers; shared bytes count once.
+class QueuedByteCounter {
  public:
-  explicit HeldBytes(SharedTraffic& aTraffic) : traffic(aTraffic) {}
+  explicit QueuedByteCounter(SharedTraffic& aTraffic) : traffic(aTraffic) {}
 
   void Add(const PeerFrame& aMessage) {
     this->traffic.totalQueuedBytes += aMessage.head.size();
     for (const SharedBytes& bytes : aMessage.shared) {
-      if (++this->holders[bytes.get()] == 1) {
+      if (++this->referenceCounts[bytes.get()] == 1) {
         this->traffic.totalQueuedBytes += bytes->size();
       }
     }
@@ -68,23 +69,23 @@
   void Remove(const PeerFrame& aMessage) {
     this->traffic.totalQueuedBytes -= aMessage.head.size();
     for (const SharedBytes& bytes : aMessage.shared) {
-      const auto found = this->holders.find(bytes.get());
+      const auto found = this->referenceCounts.find(bytes.get());
       if (--found->second == 0) {
         this->traffic.totalQueuedBytes -= bytes->size();
-        this->holders.erase(found);
+        this->referenceCounts.erase(found);
       }
     }
   }
 
-  std::size_t Sum() const { return this->traffic.totalQueuedBytes; }
+  std::size_t Total() const { return this->traffic.totalQueuedBytes; }
 
  private:
   SharedTraffic& traffic;
-  /// How many messages hold the same bytes.
-  std::unordered_map<const std::string*, std::size_t> holders;
+  /// Queued messages that refer to the same bytes.
+  std::unordered_map<const std::string*, std::size_t> referenceCounts;
 };
 
-/// A connection that a peer opened: it only receives.
+/// Connection that a peer opened; receives only.
 class Receiver : public std::enable_shared_from_this<Receiver> {
  public:
   Receiver(Tcp::socket aSocket, const PeerTransportSettings& aSettings,
@@ -95,27 +96,27 @@
         listener(aListener),
         traffic(aTraffic) {}
 
-  void Start() { this->ReadHead(); }
+  void Start() { this->ReadMessage(); }
 
  private:
-  bool MustWait() const {
+  bool IsListenerBehind() const {
     return this->settings.maxUnconsumedBytes > 0 &&
            this->traffic.unconsumedBytes > this->settings.maxUnconsumedBytes;
   }
 
-  void ReadLater() {
+  void ScheduleRead() {
     auto self = this->shared_from_this();
-    this->timer.expires_after(kReadPause);
+    this->timer.expires_after(kConsumptionCheckInterval);
     this->timer.async_wait([self](const asio::error_code& aError) {
       if (!aError) {
-        self->ReadHead();
+        self->ReadMessage();
       }
     });
   }
 
-  void ReadHead() {
-    if (this->MustWait()) {
-      this->ReadLater();
+  void ReadMessage() {
+    if (this->IsListenerBehind()) {
+      this->ScheduleRead();
       return;
     }
     auto self = this->shared_from_this();
@@ -137,7 +138,7 @@
   }
 
   void ReadBody() {
-    const std::size_t length = ReadLength(this->head);
+    const std::size_t length = DecodeLength(this->head);
     if (length == 0 || length > this->settings.maxMessageBytes) {
       this->timer.cancel();
       return;
@@ -156,7 +157,7 @@
                        self->traffic.unconsumedBytes += self->body.size();
                        self->listener.OnPeerData(std::move(self->body));
                        self->body = std::string();
-                       self->ReadHead();
+                       self->ReadMessage();
                      });
   }
 
@@ -169,20 +170,20 @@
   std::string body;
 };
 
-/// A connection to one peer: it only sends.
+/// Connection to one peer; sends only.
 class Sender : public std::enable_shared_from_this<Sender> {
  public:
   Sender(asio::io_context& aLoop, Tcp::endpoint aPeer,
          const PeerTransportSettings& aSettings, SharedTraffic& aTraffic,
-         HeldBytes& aHeld, Random& aRandom)
+         QueuedByteCounter& aTotalQueued, Random& aRandom)
       : socket(aLoop),
         timer(aLoop),
         peer(std::move(aPeer)),
         settings(aSettings),
         traffic(aTraffic),
-        held(aHeld),
+        totalQueued(aTotalQueued),
         random(aRandom),
-        pause(aSettings.initialReconnectBackoff) {}
+        backoff(aSettings.initialReconnectBackoff) {}
 
   void Send(PeerFrame aMessage) {
     const std::size_t size = aMessage.Size() + kLengthBytes;
@@ -191,11 +192,11 @@
       return;
     }
     this->queuedBytes += size;
-    this->held.Add(aMessage);
+    this->totalQueued.Add(aMessage);
     this->queue.push_back(std::move(aMessage));
     if (this->state == State::Closed) {
       this->Connect();
-    } else if (this->state == State::Open && !this->writing) {
+    } else if (this->state == State::Open && !this->isWriting) {
       this->Write();
     }
   }
@@ -206,29 +207,30 @@
     this->timer.cancel();
   }
 
-  /// Bytes that wait behind the message that is on its way.
+  /// Queued bytes without the message that is being written.
   std::size_t DroppableBytes() const {
-    return this->writing ? this->queuedBytes - this->SizeOf(this->queue.front())
-                         : this->queuedBytes;
+    return this->isWriting
+               ? this->queuedBytes - this->SizeOf(this->queue.front())
+               : this->queuedBytes;
   }
 
-  /// Drops what waits behind the message that is on its way.
-  void DropWaiting() {
+  /// Drops all queued messages but the one that is being written.
+  void DropQueued() {
     LogWarning("peer_messages_dropped",
-               {{"peer", TextOf(this->peer)},
-                {"messages", this->queue.size() - (this->writing ? 1 : 0)},
+               {{"peer", ToString(this->peer)},
+                {"messages", this->queue.size() - (this->isWriting ? 1 : 0)},
                 {"bytes", this->DroppableBytes()},
-                {"held", this->held.Sum()}});
-    while (this->queue.size() > (this->writing ? 1U : 0U)) {
+                {"held", this->totalQueued.Total()}});
+    while (this->queue.size() > (this->isWriting ? 1U : 0U)) {
       this->traffic.dropped += 1;
       this->queuedBytes -= this->SizeOf(this->queue.back());
-      this->held.Remove(this->queue.back());
+      this->totalQueued.Remove(this->queue.back());
       this->queue.pop_back();
     }
   }
 
  private:
-  enum class State { Closed, Connecting, Open, Pausing };
+  enum class State { Closed, Connecting, Open, Backoff };
 
   void Connect() {
     this->state = State::Connecting;
@@ -239,7 +241,7 @@
                                [self](const asio::error_code& aError) {
                                  self->timer.cancel();
                                  if (aError) {
-                                   self->Pause();
+                                   self->StartBackoff();
                                    return;
                                  }
                                  self->OnOpen();
@@ -248,32 +250,32 @@
     this->timer.async_wait([self](const asio::error_code& aError) {
       asio::error_code ignored;
       if (!aError && self->state == State::Connecting) {
-        self->socket.close(ignored);  // Ends the attempt with an error.
+        self->socket.close(ignored);  // Fails the attempt.
       }
     });
   }
 
   void OnOpen() {
     this->state = State::Open;
-    this->pause = this->settings.initialReconnectBackoff;
+    this->backoff = this->settings.initialReconnectBackoff;
     asio::error_code ignored;
-    SetSocketOptions(this->socket, this->settings.unacknowledged);
-    this->WatchClose();
+    SetSocketOptions(this->socket, this->settings.unacknowledgedTimeout);
+    this->WaitForClose();
     if (!this->queue.empty()) {
       this->Write();
     }
   }
 
   /// The peer never sends here: any end of a read is the connection's end.
-  void WatchClose() {
+  void WaitForClose() {
     auto self = this->shared_from_this();
     this->socket.async_read_some(
-        asio::buffer(this->sink),
+        asio::buffer(this->discarded),
         [self](const asio::error_code& aError, std::size_t) {
           if (!aError) {
-            self->WatchClose();
+            self->WaitForClose();
           } else if (aError != asio::error::operation_aborted) {
-            self->OnBroken(aError);
+            self->OnConnectionLost(aError);
           }
         });
   }
@@ -284,8 +286,8 @@
 
   void Write() {
     const PeerFrame& message = this->queue.front();
-    this->writing = true;
-    this->length = WriteLength(message.Size());
+    this->isWriting = true;
+    this->length = EncodeLength(message.Size());
     this->parts.assign(
         {asio::buffer(this->length), asio::buffer(message.head)});
     for (const SharedBytes& bytes : message.shared) {
@@ -295,9 +297,9 @@
     asio::async_write(
         this->socket, this->parts,
         [self](const asio::error_code& aError, std::size_t aBytes) {
-          self->writing = false;
+          self->isWriting = false;
           if (aError) {
-            self->OnBroken(aError);
+            self->OnConnectionLost(aError);
             return;
           }
           self->traffic.bytesOut += aBytes;
@@ -311,36 +313,37 @@
 
   void PopFront() {
     this->queuedBytes -= this->SizeOf(this->queue.front());
-    this->held.Remove(this->queue.front());
+    this->totalQueued.Remove(this->queue.front());
     this->queue.pop_front();
   }
 
-  void OnBroken(const asio::error_code& aError) {
-    if (this->state != State::Open || this->writing) {
+  void OnConnectionLost(const asio::error_code& aError) {
+    if (this->state != State::Open || this->isWriting) {
       return;
     }
-    LogInfo("peer_connection_lost", {{"peer", TextOf(this->peer)},
+    LogInfo("peer_connection_lost", {{"peer", ToString(this->peer)},
                                      {"unsent", this->queue.size()},
                                      {"reason", aError.message()}});
     asio::error_code ignored;
     this->socket.close(ignored);
     this->state = State::Closed;
     if (!this->queue.empty()) {
-      this->Pause();
+      this->StartBackoff();
     }
   }
 
-  void Pause() {
-    // What waited for a peer that is away is out of date when it is back.
+  void StartBackoff() {
+    // Queued messages would be outdated by the time the peer is reachable.
     while (!this->queue.empty()) {
       this->traffic.dropped += 1;
       this->PopFront();
     }
-    this->state = State::Pausing;
-    const double share = 0.5 + this->random.Unit() / 2;
+    this->state = State::Backoff;
+    const double jitter = 0.5 + this->random.Unit() / 2;
     this->timer.expires_after(Micros{static_cast<std::int64_t>(
-        share * static_cast<double>(this->pause.count()))});
-    this->pause = std::min(2 * this->pause, this->settings.maxReconnectBackoff);
+        jitter * static_cast<double>(this->backoff.count()))});
+    this->backoff =
+        std::min(2 * this->backoff, this->settings.maxReconnectBackoff);
     auto self = this->shared_from_this();
     this->timer.async_wait([self](const asio::error_code& aError) {
       if (aError) {
@@ -358,17 +361,17 @@
   Tcp::endpoint peer;
   const PeerTransportSettings& settings;
   SharedTraffic& traffic;
-  HeldBytes& held;
+  QueuedByteCounter& totalQueued;
   Random& random;
   State state = State::Closed;
-  Micros pause;
+  Micros backoff;
   std::deque<PeerFrame> queue;
   std::size_t queuedBytes = 0;
-  /// Of the message that is on its way.
+  /// Buffers of the message that is being written.
   std::vector<asio::const_buffer> parts;
   std::array<unsigned char, kLengthBytes> length{};
-  std::array<char, 64> sink{};
-  bool writing = false;
+  std::array<char, 64> discarded{};
+  bool isWriting = false;
 };
 
 class AsioPeerTransport final : public PeerTransport {
@@ -377,7 +380,7 @@
       : settings(std::move(aSettings)),
         listener(aListener),
         random(this->settings.seed),
-        work(asio::make_work_guard(this->loop)),
+        workGuard(asio::make_work_guard(this->loop)),
         acceptor(this->loop) {}
 
   ~AsioPeerTransport() override { this->Stop(); }
@@ -422,7 +425,7 @@
   void Send(const std::string& aAddress, PeerFrame aMessage) override {
     asio::post(
         this->loop, [this, aAddress, message = std::move(aMessage)]() mutable {
-          this->MakeRoom(message.Size());
+          this->DropUntilFits(message.Size());
           auto found = this->senders.find(aAddress);
           if (found == this->senders.end()) {
             const Result<Tcp::endpoint> peer = ParseEndpoint(aAddress);
@@ -430,10 +433,10 @@
               return;
             }
             found = this->senders
-                        .emplace(aAddress,
-                                 std::make_shared<Sender>(
-                                     this->loop, *peer, this->settings,
-                                     this->traffic, this->held, this->random))
+                        .emplace(aAddress, std::make_shared<Sender>(
+                                               this->loop, *peer,
+                                               this->settings, this->traffic,
+                                               this->totalQueued, this->random))
                         .first;
           }
           found->second->Send(std::move(message));
@@ -452,19 +455,22 @@
   }
 
  private:
-  /// Drops what waits longest in bytes until so many more may be held.
-  void MakeRoom(std::size_t aBytes) {
-    while (this->held.Sum() + aBytes > this->settings.maxTotalQueuedBytes) {
-      const auto most =
+  /// Drops the queues of the peers with the most queued bytes until `aBytes`
+  /// more fit.
+  void DropUntilFits(std::size_t aBytes) {
+    while (this->totalQueued.Total() + aBytes >
+           this->settings.maxTotalQueuedBytes) {
+      const auto longest =
           std::max_element(this->senders.begin(), this->senders.end(),
-                           [](const auto& aOne, const auto& aOther) {
-                             return aOne.second->DroppableBytes() <
-                                    aOther.second->DroppableBytes();
+                           [](const auto& aLeft, const auto& aRight) {
+                             return aLeft.second->DroppableBytes() <
+                                    aRight.second->DroppableBytes();
                            });
-      if (most == this->senders.end() || most->second->DroppableBytes() == 0) {
+      if (longest == this->senders.end() ||
+          longest->second->DroppableBytes() == 0) {
         return;
       }
-      most->second->DropWaiting();
+      longest->second->DropQueued();
     }
   }
 
@@ -487,9 +493,9 @@
   PeerListener& listener;
   Random random;
   SharedTraffic traffic;
-  HeldBytes held{this->traffic};
+  QueuedByteCounter totalQueued{this->traffic};
   asio::io_context loop;
-  asio::executor_work_guard<asio::io_context::executor_type> work;
+  asio::executor_work_guard<asio::io_context::executor_type> workGuard;
   Tcp::acceptor acceptor;
   std::unordered_map<std::string, std::shared_ptr<Sender>> senders;
   std::uint16_t port = 0;
--- a/Zincstep/Peer/PeerMessage.cpp
+++ b/Zincstep/Peer/PeerMessage.cpp
@@ -10,11 +10,11 @@
 
 using Builder = fb::FlatBufferBuilder;
 
-std::string TextOf(const fb::String* aText) {
+std::string ToString(const fb::String* aText) {
   return aText == nullptr ? std::string() : aText->str();
 }
 
-/// Writes the bodies; each gives the offset of its table.
+/// Writes a message body and returns the offset of its table.
 class BodyWriter {
  public:
   explicit BodyWriter(Builder& aBuilder) : builder(aBuilder) {}
@@ -47,7 +47,7 @@
   }
 
   fb::Offset<void> operator()(const ClaimOrderMessage& aOrder) {
-    const auto claim = this->Put(aOrder.claim);
+    const auto claim = this->WriteClaim(aOrder.claim);
     return wire::CreateClaimOrder(this->builder, aOrder.round, aOrder.epoch,
                                   static_cast<wire::ClaimStep>(aOrder.step),
                                   claim)
@@ -55,32 +55,33 @@
   }
 
   fb::Offset<void> operator()(const ClaimVoteMessage& aVote) {
-    const auto claim = this->Put(aVote.vote.claim);
+    const auto claim = this->WriteClaim(aVote.vote.claim);
     return wire::CreateClaimVote(this->builder, aVote.round,
                                  static_cast<std::uint8_t>(aVote.vote.kind),
                                  claim)
         .Union();
   }
 
-  fb::Offset<void> operator()(const ConfigWantMessage& aWant) {
-    const auto digests = this->builder.CreateVectorOfStrings(aWant.haveDigests);
-    return wire::CreateConfigWant(this->builder, aWant.haveRevision, digests)
+  fb::Offset<void> operator()(const ConfigWantMessage& aMessage) {
+    const auto digests =
+        this->builder.CreateVectorOfStrings(aMessage.haveDigests);
+    return wire::CreateConfigWant(this->builder, aMessage.haveRevision, digests)
         .Union();
   }
 
-  fb::Offset<void> operator()(const ConfigGiveMessage& aGive) {
+  fb::Offset<void> operator()(const ConfigGiveMessage& aMessage) {
     std::vector<fb::Offset<wire::Piece>> pieces;
-    for (const auto& [digest, text] : aGive.pieces) {
+    for (const auto& [digest, text] : aMessage.pieces) {
       pieces.push_back(
           wire::CreatePieceDirect(this->builder, digest.c_str(), text.c_str()));
     }
-    return wire::CreateConfigGiveDirect(this->builder, aGive.revision,
-                                        aGive.root.c_str(), &pieces)
+    return wire::CreateConfigGiveDirect(this->builder, aMessage.revision,
+                                        aMessage.root.c_str(), &pieces)
         .Union();
   }
 
-  fb::Offset<void> operator()(const MembersGiveMessage& aGive) {
-    return wire::CreateMembersGiveDirect(this->builder, aGive.text.c_str())
+  fb::Offset<void> operator()(const MembersGiveMessage& aMessage) {
+    return wire::CreateMembersGiveDirect(this->builder, aMessage.text.c_str())
         .Union();
   }
 
@@ -91,20 +92,20 @@
   fb::Offset<void> operator()(const HandOverMessage& aHandOver) {
     std::vector<fb::Offset<wire::Claim>> claims;
     for (const Claim& claim : aHandOver.claims) {
-      claims.push_back(this->Put(claim));
+      claims.push_back(this->WriteClaim(claim));
     }
     return wire::CreateHandOverDirect(this->builder, aHandOver.from.c_str(),
                                       &claims)
         .Union();
   }
 
-  fb::Offset<void> operator()(const HandOverDoneMessage& aDone) {
-    return wire::CreateHandOverDoneDirect(this->builder, aDone.from.c_str())
+  fb::Offset<void> operator()(const HandOverDoneMessage& aMessage) {
+    return wire::CreateHandOverDoneDirect(this->builder, aMessage.from.c_str())
         .Union();
   }
 
  private:
-  fb::Offset<wire::Claim> Put(const Claim& aClaim) {
+  fb::Offset<wire::Claim> WriteClaim(const Claim& aClaim) {
     return wire::CreateClaimDirect(
         this->builder, aClaim.key.c_str(), aClaim.digest,
         aClaim.claimant.member.c_str(), aClaim.claimant.request,
@@ -121,16 +122,16 @@
   if (aClaim == nullptr) {
     return claim;
   }
-  claim.key = TextOf(aClaim->key());
+  claim.key = ToString(aClaim->key());
   claim.digest = aClaim->digest();
-  claim.claimant = {TextOf(aClaim->member()), aClaim->request()};
-  // An unknown state is taken for the careful one.
+  claim.claimant = {ToString(aClaim->member()), aClaim->request()};
+  // An unknown state is read as `Unknown`, the most cautious one.
   claim.state = aClaim->state() < kClaimStateNames.size()
                     ? static_cast<ClaimState>(aClaim->state())
                     : ClaimState::Unknown;
   claim.response.status = aClaim->status();
-  claim.response.contentType = TextOf(aClaim->content_type());
-  claim.response.body = TextOf(aClaim->body());
+  claim.response.contentType = ToString(aClaim->content_type());
+  claim.response.body = ToString(aClaim->body());
   claim.response.isTruncated = aClaim->truncated();
   return claim;
 }
@@ -146,33 +147,33 @@
   return claims;
 }
 
-std::vector<std::string> ReadTexts(
-    const fb::Vector<fb::Offset<fb::String>>* aTexts) {
-  std::vector<std::string> texts;
-  if (aTexts != nullptr) {
-    for (const fb::String* text : *aTexts) {
-      texts.push_back(TextOf(text));
+std::vector<std::string> ReadStrings(
+    const fb::Vector<fb::Offset<fb::String>>* aStrings) {
+  std::vector<std::string> strings;
+  if (aStrings != nullptr) {
+    for (const fb::String* text : *aStrings) {
+      strings.push_back(ToString(text));
     }
   }
-  return texts;
+  return strings;
 }
 
 GossipMessage ReadGossip(const wire::Gossip& aGossip) {
   GossipMessage gossip;
-  gossip.vm = TextOf(aGossip.vm());
-  gossip.member = TextOf(aGossip.member());
-  gossip.failureDomain = TextOf(aGossip.failure_domain());
-  gossip.address = TextOf(aGossip.address());
+  gossip.vm = ToString(aGossip.vm());
+  gossip.member = ToString(aGossip.member());
+  gossip.failureDomain = ToString(aGossip.failure_domain());
+  gossip.address = ToString(aGossip.address());
   gossip.revision = aGossip.revision();
   gossip.membersVersion = aGossip.members_version();
   gossip.stopping = aGossip.stopping();
-  gossip.handedTo = TextOf(aGossip.handed_to());
-  gossip.leaving = ReadTexts(aGossip.leaving());
-  gossip.paused = ReadTexts(aGossip.paused());
+  gossip.handedTo = ToString(aGossip.handed_to());
+  gossip.leaving = ReadStrings(aGossip.leaving());
+  gossip.paused = ReadStrings(aGossip.paused());
   if (aGossip.loads() != nullptr) {
     for (const wire::UpstreamLoad* load : *aGossip.loads()) {
-      gossip.loads.push_back({TextOf(load->name()), load->sequences(),
-                              TextOf(load->version()), load->reachable()});
+      gossip.loads.push_back({ToString(load->name()), load->sequences(),
+                              ToString(load->version()), load->reachable()});
     }
   }
   if (aGossip.usages() != nullptr) {
@@ -183,7 +184,7 @@
   return gossip;
 }
 
-ClaimOrderMessage ReadOrder(const wire::ClaimOrder& aOrder) {
+ClaimOrderMessage ReadClaimOrder(const wire::ClaimOrder& aOrder) {
   ClaimOrderMessage order;
   order.round = aOrder.round();
   order.epoch = aOrder.epoch();
@@ -192,10 +193,10 @@
   return order;
 }
 
-ClaimVoteMessage ReadVote(const wire::ClaimVote& aVote) {
+ClaimVoteMessage ReadClaimVote(const wire::ClaimVote& aVote) {
   ClaimVoteMessage vote;
   vote.round = aVote.round();
-  // An unknown kind is no grant.
+  // An unknown kind must not count as a grant.
   vote.vote.kind = aVote.kind() < kVoteNames.size()
                        ? static_cast<ClaimVote::Kind>(aVote.kind())
                        : ClaimVote::Kind::Closed;
@@ -203,16 +204,17 @@
   return vote;
 }
 
-ConfigGiveMessage ReadGive(const wire::ConfigGive& aGive) {
-  ConfigGiveMessage give;
-  give.revision = aGive.revision();
-  give.root = TextOf(aGive.root());
-  if (aGive.pieces() != nullptr) {
-    for (const wire::Piece* piece : *aGive.pieces()) {
-      give.pieces.emplace_back(TextOf(piece->digest()), TextOf(piece->text()));
+ConfigGiveMessage ReadConfig(const wire::ConfigGive& aMessage) {
+  ConfigGiveMessage config;
+  config.revision = aMessage.revision();
+  config.root = ToString(aMessage.root());
+  if (aMessage.pieces() != nullptr) {
+    for (const wire::Piece* piece : *aMessage.pieces()) {
+      config.pieces.emplace_back(ToString(piece->digest()),
+                                 ToString(piece->text()));
     }
   }
-  return give;
+  return config;
 }
 
 }  // namespace
@@ -222,7 +224,7 @@
   const auto sender = builder.CreateString(aMessage.sender);
   const auto replyTo = builder.CreateString(aMessage.replyTo);
   const auto body = std::visit(BodyWriter(builder), aMessage.body);
-  // The alternatives of the variant stand in the order of the union.
+  // The alternatives of `PeerBody` have the order of the union in Peer.fbs.
   const auto type = static_cast<wire::Body>(aMessage.body.index() + 1);
   builder.Finish(wire::CreateMessage(builder, sender, replyTo, type, body));
   return std::string(reinterpret_cast<const char*>(builder.GetBufferPointer()),
@@ -236,51 +238,51 @@
     return Fail(ErrorKind::BadRequest, "not a peer message");
   }
   const wire::Message* message = wire::GetMessage(bytes);
-  // The verifier passes a body that has a type and no table.
+  // The verifier accepts a body type without a table.
   if (message->body() == nullptr) {
-    return Fail(ErrorKind::BadRequest, "a peer message without a body");
+    return Fail(ErrorKind::BadRequest, "peer message without a body");
   }
-  PeerMessage read;
-  read.sender = TextOf(message->sender());
-  read.replyTo = TextOf(message->reply_to());
+  PeerMessage result;
+  result.sender = ToString(message->sender());
+  result.replyTo = ToString(message->reply_to());
   switch (message->body_type()) {
     case wire::Body_Gossip:
-      read.body = ReadGossip(*message->body_as_Gossip());
-      return read;
+      result.body = ReadGossip(*message->body_as_Gossip());
+      return result;
     case wire::Body_ClaimOrder:
-      read.body = ReadOrder(*message->body_as_ClaimOrder());
-      return read;
+      result.body = ReadClaimOrder(*message->body_as_ClaimOrder());
+      return result;
     case wire::Body_ClaimVote:
-      read.body = ReadVote(*message->body_as_ClaimVote());
-      return read;
+      result.body = ReadClaimVote(*message->body_as_ClaimVote());
+      return result;
     case wire::Body_ConfigWant:
-      read.body = ConfigWantMessage{
+      result.body = ConfigWantMessage{
           message->body_as_ConfigWant()->have_revision(),
-          ReadTexts(message->body_as_ConfigWant()->have_digests())};
-      return read;
+          ReadStrings(message->body_as_ConfigWant()->have_digests())};
+      return result;
     case wire::Body_ConfigGive:
-      read.body = ReadGive(*message->body_as_ConfigGive());
-      return read;
+      result.body = ReadConfig(*message->body_as_ConfigGive());
+      return result;
     case wire::Body_MembersGive:
-      read.body =
-          MembersGiveMessage{TextOf(message->body_as_MembersGive()->text())};
-      return read;
+      result.body =
+          MembersGiveMessage{ToString(message->body_as_MembersGive()->text())};
+      return result;
     case wire::Body_MembersWant:
-      read.body = MembersWantMessage{};
-      return read;
+      result.body = MembersWantMessage{};
+      return result;
     case wire::Body_HandOver:
-      read.body =
-          HandOverMessage{TextOf(message->body_as_HandOver()->from()),
+      result.body =
+          HandOverMessage{ToString(message->body_as_HandOver()->from()),
                           ReadClaims(message->body_as_HandOver()->claims())};
-      return read;
+      return result;
     case wire::Body_HandOverDone:
-      read.body =
-          HandOverDoneMessage{TextOf(message->body_as_HandOverDone()->from())};
-      return read;
+      result.body = HandOverDoneMessage{
+          ToString(message->body_as_HandOverDone()->from())};
+      return result;
     case wire::Body_NONE:
       break;
   }
-  return Fail(ErrorKind::BadRequest, "a peer message without a body");
+  return Fail(ErrorKind::BadRequest, "peer message without a body");
 }
 
 }  // namespace zincstep
--- a/Zincstep/Peer/PeerMessage.h
+++ b/Zincstep/Peer/PeerMessage.h
@@ -12,7 +12,7 @@
 
 namespace zincstep {
 
-/// Load of one upstream, as its poller has it.
+/// Load of one upstream as last reported by the daemon that polls it.
 struct UpstreamLoad {
   std::string name;
   double sequences = 0;
@@ -20,27 +20,28 @@
   bool reachable = true;
 };
 
-/// What a daemon tells all peers of its failure domain, once a second.
+/// State that a daemon sends to all peers of its failure domain, once per
+/// second.
 struct GossipMessage {
   std::string vm;
   std::string member;
   std::string failureDomain;
-  /// Where callers reach it.
+  /// host:port at which callers connect.
   std::string address;
   std::uint64_t revision = 0;
   std::uint64_t membersVersion = 0;
   bool stopping = false;
-  /// The member that has its claims, once it has closed.
+  /// Member that received its claims; set once its witness has closed.
   std::string handedTo;
   std::vector<UpstreamLoad> loads;
   std::vector<UsageReport> usages;
-  /// Upstreams that the sender knows to be leaving.
+  /// Upstreams that are leaving as far as the sender knows.
   std::vector<std::string> leaving;
-  /// Upstreams that get no new work while a change to them is under way.
+  /// Upstreams that get no new work while a change to them is in progress.
   std::vector<std::string> paused;
 };
 
-/// What a claimant asks of a witness.
+/// Request of a claimant to a witness.
 struct ClaimOrderMessage {
   enum class Step { Ask, Release, Finish };
   std::uint64_t round = 0;
@@ -49,20 +50,20 @@
   Claim claim;
 };
 
-/// A witness' vote.
+/// Vote of a witness.
 struct ClaimVoteMessage {
   std::uint64_t round = 0;
   ClaimVote vote;
 };
 
-/// Asks a peer for a newer configuration than the sender's.
+/// Requests a configuration that is newer than the sender's.
 struct ConfigWantMessage {
   std::uint64_t haveRevision = 0;
-  /// Pieces that the sender has; first characters of their digests.
+  /// Prefixes of the digests of the pieces that the sender has.
   std::vector<std::string> haveDigests;
 };
 
-/// A configuration, without the pieces that the receiver has.
+/// Configuration without the pieces that the receiver has.
 struct ConfigGiveMessage {
   std::uint64_t revision = 0;
   std::string root;
@@ -70,7 +71,7 @@
   std::vector<std::pair<std::string, std::string>> pieces;
 };
 
-/// Asks for the agreed member lists.
+/// Requests the agreed member lists.
 struct MembersWantMessage {};
 
 /// The agreed member lists.
@@ -78,13 +79,13 @@
   std::string text;
 };
 
-/// The claims of a witness that has closed.
+/// Claims of a closed witness, sent to the member that takes them over.
 struct HandOverMessage {
   std::string from;
   std::vector<Claim> claims;
 };
 
-/// The claims of a closed witness have been taken over.
+/// Confirms that the claims of a closed witness were taken over.
 struct HandOverDoneMessage {
   std::string from;
 };
@@ -94,17 +95,17 @@
                  ConfigWantMessage, ConfigGiveMessage, MembersGiveMessage,
                  MembersWantMessage, HandOverMessage, HandOverDoneMessage>;
 
-/// A message with the member that sent it.
+/// Message with its sender.
 struct PeerMessage {
   std::string sender;
-  /// Address at which the sender listens for answers.
+  /// host:port at which the sender listens for replies.
   std::string replyTo;
   PeerBody body;
 };
 
-/// The message as a FlatBuffer.
+/// Returns the message as a FlatBuffer.
 std::string WritePeerMessage(const PeerMessage& aMessage);
-/// The message in a buffer; fails with `BadRequest` where it has none.
+/// Parses a FlatBuffer; fails with `BadRequest` if it is not a valid message.
 Result<PeerMessage> ReadPeerMessage(std::string_view aBuffer);
 
 }  // namespace zincstep
--- a/Zincstep/Peer/PeerTransport.h
+++ b/Zincstep/Peer/PeerTransport.h
@@ -9,101 +9,107 @@
 
 namespace zincstep {
 
-/// Bytes that are kept once, however many peers they are sent to.
+/// Bytes that are stored once, even if they are queued for several peers.
 using SharedBytes = std::shared_ptr<const std::string>;
 
-/// A message as it is sent: what is written for one peer, and behind it what
-/// others are sent as well.
+/// An outgoing message: a part for one peer, followed by parts that are sent to
+/// several peers.
 struct PeerFrame {
   std::string head;
   std::vector<SharedBytes> shared;
 
+  /// Total size in bytes, without the length prefix.
   std::size_t Size() const;
-  /// All of it in one piece.
+  /// Returns all parts joined.
   std::string ToString() const;
 };
 
-/// Is told of messages; called on the hub's own thread.
+/// Receives messages, on the transport's thread.
 class PeerListener {
  public:
   virtual ~PeerListener() = default;
 
-  /// A whole message has come.
+  /// Called with a complete message.
   virtual void OnPeerData(std::string aMessage) = 0;
 };
 
-/// Settings of a peer hub.
+/// Settings of a peer transport.
 struct PeerTransportSettings {
   /// host:port to listen on.
   std::string listen = "127.0.0.1:0";
+  /// A connection that announces a larger message is closed.
   std::size_t maxMessageBytes = 8 << 20;
-  /// Bytes that may wait for one peer; more are dropped, newest first.
+  /// Bytes queued for one peer; new messages beyond that are dropped.
   std::size_t maxQueuedBytes = 16 << 20;
-  /// Bytes that may wait for all peers, where what several are sent counts
-  /// once. At the bound the peer for which most waits loses it: it does not
-  /// read, and what it is told is out of date when it does.
+  /// Bytes queued for all peers; shared bytes count once. At the limit the
+  /// peer with the most queued bytes loses its queue: it does not read, and the
+  /// messages would be outdated by the time it does.
   std::size_t maxTotalQueuedBytes = 64 << 20;
-  /// Bytes of messages that the listener has not taken yet, see
-  /// `PeerTransport::OnConsumed`. Beyond that nothing more is read, which holds
-  /// up those that send. 0: without bound, for a listener that does not tell.
+  /// Bytes of received messages that the listener has not consumed yet, see
+  /// `PeerTransport::OnConsumed`. Beyond that the transport stops reading, so
+  /// that TCP slows the senders down. 0 means no limit, for a listener that
+  /// does not report consumption.
   std::size_t maxUnconsumedBytes = 0;
   Micros initialReconnectBackoff = 100ms;
   Micros maxReconnectBackoff = 5s;
-  /// A connection that is not up by then is given up: an opening packet that
-  /// was lost to a VM without power comes again after a second at the
-  /// earliest, and each time later.
+  /// Timeout of an attempt to connect. A SYN to a VM without power is
+  /// retransmitted after 1 s at the earliest, and after longer intervals each
+  /// time, so waiting longer does not help.
   Micros connectTimeout = 300ms;
-  /// A connection whose bytes were not taken for so long is broken: a cut says
-  /// nothing, and what waits behind it is out of date.
-  Micros unacknowledged = 1s;
-  /// A connection that carried nothing for so long is closed.
+  /// A connection with bytes unacknowledgedTimeout for so long is closed: a
+  /// partition causes no error, and the messages queued behind it become
+  /// outdated.
+  Micros unacknowledgedTimeout = 1s;
+  /// An incoming connection is closed after so long without a message.
   Micros idleTimeout = 30s;
   std::uint64_t seed = 1;
 };
 
-/// What the hub has sent and received.
+/// Counters of a peer transport.
 struct PeerTraffic {
   std::uint64_t bytesOut = 0;
   std::uint64_t bytesIn = 0;
   std::uint64_t messagesOut = 0;
   std::uint64_t messagesIn = 0;
+  /// Messages dropped from queues.
   std::uint64_t dropped = 0;
+  /// Attempts to connect.
   std::uint64_t connects = 0;
-  /// Bytes that wait to be sent now.
+  /// Bytes queued now; shared bytes count once.
   std::uint64_t totalQueuedBytes = 0;
-  /// Bytes that the listener has not taken yet.
+  /// Received bytes that the listener has not consumed yet.
   std::uint64_t unconsumedBytes = 0;
 };
 
-/// Carries messages between entry daemons over TCP, on one thread.
+/// Transports messages between daemons over TCP, on one thread.
 ///
-/// Each message is its length in four bytes, then a FlatBuffer. A daemon
-/// sends on connections that it opened and receives on those it accepted.
-/// Connections open when there is something to send, and again after a
-/// pause that doubles and is drawn at random, so that the return of a
-/// whole domain makes no storm.
+/// A message is its length in four bytes, little-endian, followed by a
+/// FlatBuffer. A daemon sends on connections that it opened and receives on
+/// those that it accepted. A connection opens when there is a message to send.
+/// Reconnects use exponential backoff with jitter, so that the return of a
+/// failure domain causes no burst of connections.
 class PeerTransport {
  public:
   virtual ~PeerTransport() = default;
 
-  /// Starts to listen; fails where the address is taken.
+  /// Starts listening; fails if the address is invalid or in use.
   virtual Result<void> Start() = 0;
-  /// Closes all and ends the thread.
+  /// Closes all connections and ends the thread.
   virtual void Stop() = 0;
-  /// Port that is listened on.
+  /// Listening port, once started.
   virtual std::uint16_t Port() const = 0;
-  /// Sends to host:port; may be lost, as anything over a network.
+  /// Queues a message to host:port, an IP address. Delivery is not guaranteed.
   virtual void Send(const std::string& aAddress, PeerFrame aMessage) = 0;
   void Send(const std::string& aAddress, std::string aMessage) {
     this->Send(aAddress, PeerFrame{std::move(aMessage), {}});
   }
-  /// The listener is done with a message of so many bytes.
+  /// Called by the listener when it has processed a message of `aBytes` bytes.
   virtual void OnConsumed(std::size_t aBytes) = 0;
-  /// Counts so far.
+  /// Returns the counters; callable from any thread.
   virtual PeerTraffic Traffic() const = 0;
 };
 
-/// A hub by Asio.
+/// Creates a transport on Asio.
 std::unique_ptr<PeerTransport> MakePeerTransport(
     PeerTransportSettings aSettings, PeerListener& aListener);
 
