--- a/UnitTests/ConnectionPoolTest.cpp
+++ b/UnitTests/ConnectionPoolTest.cpp
@@ -5,41 +5,42 @@
 namespace zincstep {
 namespace {
 
-constexpr const char* kAnswer =
+constexpr const char* kResponse =
     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=10\r\n\r\nok";
 
-/// What the scripted peer does with a connection.
-enum class Manner {
-  /// Answers each request.
-  Answers,
-  /// Answers, then closes.
-  Closes,
-  /// Answers with bytes behind the answer.
-  AnswersTooMuch,
-  /// Answers the first request only, and is silent from then on.
-  FallsSilent,
-  /// Answers the first request at once, and takes its time in the midst of the
-  /// next answer.
+/// Behaviour of the test server on a connection.
+enum class ServerBehaviour {
+  /// Responds to each request.
+  Responds,
+  /// Responds, then closes the connection.
+  ClosesAfterResponse,
+  /// Sends surplus bytes after the response.
+  SendsSurplus,
+  /// Responds to the first request only; later requests get no response.
+  StopsResponding,
+  /// Responds to the first request immediately, and pauses within the response
+  /// to the next.
   Pauses,
-  /// Answers the first request only, and closes on the next.
-  BreaksSecond,
+  /// Responds to the first request only, and closes on the next.
+  ClosesOnSecond,
 };
 
 class ConnectionPoolTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ConnectionPoolTest);
-  CPPUNIT_TEST(Call_AfterAWholeAnswer_ReusesTheConnection);
-  CPPUNIT_TEST(Call_OtherIncarnation_HasItsOwnConnection);
-  CPPUNIT_TEST(Call_AfterAClose_ConnectsAnew);
-  CPPUNIT_TEST(Call_AfterSurplusBytes_ConnectsAnew);
-  CPPUNIT_TEST(Call_AfterALongRest_ConnectsAnew);
-  CPPUNIT_TEST(Call_OnASilentConnection_GoesOnANewOneAndIsDistrusted);
-  CPPUNIT_TEST(Call_AnsweredSlowlyOnAKeptConnection_HasItsWholeTime);
-  CPPUNIT_TEST(Call_OnAConnectionThatBreaks_IsMadeAgain);
-  CPPUNIT_TEST(Call_WithoutKept_ConnectsEachTime);
-  CPPUNIT_TEST(Put_MoreThanMayRest_AreClosed);
+  CPPUNIT_TEST(Call_AfterCompleteResponse_ReusesTheConnection);
+  CPPUNIT_TEST(Call_OtherIncarnation_OpensItsOwnConnection);
+  CPPUNIT_TEST(Call_AfterClose_OpensNewConnection);
+  CPPUNIT_TEST(Call_AfterSurplusBytes_OpensNewConnection);
+  CPPUNIT_TEST(Call_AfterIdleTimeout_OpensNewConnection);
+  CPPUNIT_TEST(Call_ReusedConnectionUnresponsive_RetriesAndQuarantines);
+  CPPUNIT_TEST(Call_SlowResponseOnReusedConnection_GetsFullTimeout);
+  CPPUNIT_TEST(Call_ReusedConnectionCloses_IsRetried);
+  CPPUNIT_TEST(Call_WithoutPool_ConnectsEachTime);
+  CPPUNIT_TEST(Put_OverMaxIdleConnections_AreClosed);
   CPPUNIT_TEST_SUITE_END();
 
-  /// More than the half of `kLongTimeout` that a silent connection has.
+  /// Longer than the half of `kLongTimeout` after which a reused connection
+  /// without any response byte is abandoned.
   static constexpr Micros kPause = 1100ms;
   static constexpr Micros kLongTimeout = 2s;
 
@@ -48,10 +49,10 @@
   ConnectionPool pool{ConnectionPoolSettings{}, clock};
   asio::ip::tcp::acceptor acceptor{
       loop, TcpEndpoint(asio::ip::address_v4::loopback(), 0)};
-  Manner manner = Manner::Answers;
+  ServerBehaviour behaviour = ServerBehaviour::Responds;
   int connections = 0;
-  /// Connections that stay open and say nothing.
-  std::vector<std::shared_ptr<TcpSocket>> silent;
+  /// Connections that stay open and get no response.
+  std::vector<std::shared_ptr<TcpSocket>> unresponsive;
 
   void Accept() {
     acceptor.async_accept(
@@ -65,55 +66,58 @@
         });
   }
 
-  void Serve(const std::shared_ptr<TcpSocket>& aSocket, int aNumber) {
+  void Serve(const std::shared_ptr<TcpSocket>& aSocket, int aRequestNumber) {
     auto buffer = std::make_shared<std::array<char, 4096>>();
     aSocket->async_read_some(
         asio::buffer(*buffer),
-        [this, aSocket, buffer, aNumber](const asio::error_code& aError,
-                                         std::size_t) {
+        [this, aSocket, buffer, aRequestNumber](const asio::error_code& aError,
+                                                std::size_t) {
           if (aError) {
             return;
           }
-          if (manner == Manner::FallsSilent && aNumber > 1) {
-            silent.push_back(aSocket);
+          if (behaviour == ServerBehaviour::StopsResponding &&
+              aRequestNumber > 1) {
+            unresponsive.push_back(aSocket);
             return;
           }
-          if (manner == Manner::BreaksSecond && aNumber > 1) {
+          if (behaviour == ServerBehaviour::ClosesOnSecond &&
+              aRequestNumber > 1) {
             return;
           }
-          if (manner == Manner::Pauses && aNumber > 1) {
-            this->AnswerWithAPause(aSocket);
+          if (behaviour == ServerBehaviour::Pauses && aRequestNumber > 1) {
+            this->RespondWithPause(aSocket);
             return;
           }
-          std::string answer = kAnswer;
-          if (manner == Manner::AnswersTooMuch) {
-            answer += kAnswer;
+          std::string response = kResponse;
+          if (behaviour == ServerBehaviour::SendsSurplus) {
+            response += kResponse;
           }
-          asio::write(*aSocket, asio::buffer(answer));
-          if (manner != Manner::Closes) {
-            this->Serve(aSocket, aNumber + 1);
+          asio::write(*aSocket, asio::buffer(response));
+          if (behaviour != ServerBehaviour::ClosesAfterResponse) {
+            this->Serve(aSocket, aRequestNumber + 1);
           }
         });
   }
 
-  void AnswerWithAPause(const std::shared_ptr<TcpSocket>& aSocket) {
-    const std::string_view answer = kAnswer;
-    asio::write(*aSocket, asio::buffer(answer.substr(0, answer.size() - 1)));
+  void RespondWithPause(const std::shared_ptr<TcpSocket>& aSocket) {
+    const std::string_view response = kResponse;
+    asio::write(*aSocket,
+                asio::buffer(response.substr(0, response.size() - 1)));
     auto timer = std::make_shared<asio::steady_timer>(loop, kPause);
-    timer->async_wait([aSocket, timer, answer](const asio::error_code&) {
-      asio::write(*aSocket, asio::buffer(answer.substr(answer.size() - 1)));
+    timer->async_wait([aSocket, timer, response](const asio::error_code&) {
+      asio::write(*aSocket, asio::buffer(response.substr(response.size() - 1)));
     });
   }
 
-  Result<HttpResponse> Call(const std::string& aUpstream, bool aKept = true,
+  Result<HttpResponse> Call(const std::string& aUpstream, bool aIsPooled = true,
                             Micros aTimeout = 150ms) {
     std::optional<Result<HttpResponse>> result;
     FetchResponse(
         loop, acceptor.local_endpoint(),
         "GET /report HTTP/1.1\r\nHost: h\r\n\r\n", aTimeout,
-        [&](Result<HttpResponse> aAnswer) { result = std::move(aAnswer); },
-        aKept ? std::optional(PooledConnections{&pool, aUpstream})
-              : std::nullopt);
+        [&](Result<HttpResponse> aResponse) { result = std::move(aResponse); },
+        aIsPooled ? std::optional(PooledConnections{&pool, aUpstream})
+                  : std::nullopt);
     while (!result) {
       loop.run_one();
     }
@@ -124,45 +128,45 @@
  public:
   void setUp() override { this->Accept(); }
 
-  void Call_AfterAWholeAnswer_ReusesTheConnection() {
+  void Call_AfterCompleteResponse_ReusesTheConnection() {
     for (int i = 0; i < 5; ++i) {
       CPPUNIT_ASSERT_EQUAL(std::string("ok"), this->Call("i1")->body);
     }
     CPPUNIT_ASSERT_EQUAL(1, connections);
   }
 
-  void Call_OtherIncarnation_HasItsOwnConnection() {
+  void Call_OtherIncarnation_OpensItsOwnConnection() {
     this->Call("i1");
     this->Call("i2");
     CPPUNIT_ASSERT_EQUAL(2, connections);
   }
 
-  void Call_AfterAClose_ConnectsAnew() {
-    manner = Manner::Closes;
+  void Call_AfterClose_OpensNewConnection() {
+    behaviour = ServerBehaviour::ClosesAfterResponse;
     for (int i = 0; i < 3; ++i) {
       CPPUNIT_ASSERT_EQUAL(std::string("ok"), this->Call("i1")->body);
     }
     CPPUNIT_ASSERT_EQUAL(3, connections);
   }
 
-  void Call_AfterSurplusBytes_ConnectsAnew() {
-    manner = Manner::AnswersTooMuch;
+  void Call_AfterSurplusBytes_OpensNewConnection() {
+    behaviour = ServerBehaviour::SendsSurplus;
     for (int i = 0; i < 3; ++i) {
       CPPUNIT_ASSERT_EQUAL(std::string("ok"), this->Call("i1")->body);
     }
     CPPUNIT_ASSERT_EQUAL(3, connections);
   }
 
-  void Call_AfterALongRest_ConnectsAnew() {
+  void Call_AfterIdleTimeout_OpensNewConnection() {
     this->Call("i1");
     clock.Advance(4s);
     this->Call("i1");
     CPPUNIT_ASSERT_EQUAL(2, connections);
   }
 
-  // An open connection may fall silent for good while new ones work.
-  void Call_OnASilentConnection_GoesOnANewOneAndIsDistrusted() {
-    manner = Manner::FallsSilent;
+  // An open connection may stop responding permanently while new ones work.
+  void Call_ReusedConnectionUnresponsive_RetriesAndQuarantines() {
+    behaviour = ServerBehaviour::StopsResponding;
     CPPUNIT_ASSERT(this->Call("i1").has_value());
     CPPUNIT_ASSERT_EQUAL(std::string("ok"), this->Call("i1")->body);
     CPPUNIT_ASSERT_EQUAL(2, connections);
@@ -172,30 +176,31 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, pool.IdleCount());
   }
 
-  void Call_AnsweredSlowlyOnAKeptConnection_HasItsWholeTime() {
-    manner = Manner::Pauses;
+  void Call_SlowResponseOnReusedConnection_GetsFullTimeout() {
+    behaviour = ServerBehaviour::Pauses;
     this->Call("i1");
-    const auto answer = this->Call("i1", true, kLongTimeout);
-    CPPUNIT_ASSERT(answer.has_value());
-    CPPUNIT_ASSERT_EQUAL(std::string("ok"), answer->body);
+    const auto response = this->Call("i1", true, kLongTimeout);
+    CPPUNIT_ASSERT(response.has_value());
+    CPPUNIT_ASSERT_EQUAL(std::string("ok"), response->body);
     CPPUNIT_ASSERT_EQUAL(1, connections);
   }
 
-  // The other side closed it as the call was sent: it is made once more.
-  void Call_OnAConnectionThatBreaks_IsMadeAgain() {
-    manner = Manner::BreaksSecond;
+  // The server closes the connection when the request is sent; the call is
+  // retried on a new connection.
+  void Call_ReusedConnectionCloses_IsRetried() {
+    behaviour = ServerBehaviour::ClosesOnSecond;
     CPPUNIT_ASSERT_EQUAL(std::string("ok"), this->Call("i1")->body);
     CPPUNIT_ASSERT_EQUAL(std::string("ok"), this->Call("i1")->body);
     CPPUNIT_ASSERT_EQUAL(2, connections);
   }
 
-  void Call_WithoutKept_ConnectsEachTime() {
+  void Call_WithoutPool_ConnectsEachTime() {
     this->Call("i1", false);
     this->Call("i1", false);
     CPPUNIT_ASSERT_EQUAL(2, connections);
   }
 
-  void Put_MoreThanMayRest_AreClosed() {
+  void Put_OverMaxIdleConnections_AreClosed() {
     HttpHead head;
     for (std::size_t i = 0; i < 20; ++i) {
       pool.Put("i1", TcpSocket(loop), head);
--- a/UnitTests/SystemClockTest.cpp
+++ b/UnitTests/SystemClockTest.cpp
@@ -8,7 +8,7 @@
 
 class SystemClockTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SystemClockTest);
-  CPPUNIT_TEST(Now_OfTheMachine_CountsSuspension);
+  CPPUNIT_TEST(Now_SystemClock_CountsSuspension);
   CPPUNIT_TEST_SUITE_END();
 
   static Instant BootTime() {
@@ -20,9 +20,9 @@
   }
 
  public:
-  // The steady clock stands still while a machine is suspended, so that what
-  // had been proven before looked as young as then.
-  void Now_OfTheMachine_CountsSuspension() {
+  // Guards against the use of the steady clock, which stops while a VM is
+  // suspended: validations from before the suspension would seem too young.
+  void Now_SystemClock_CountsSuspension() {
     const SystemClock clock;
     const Instant before = BootTime();
     const Instant now = clock.Now();
--- a/Zincstep/Core/Assert.cpp
+++ b/Zincstep/Core/Assert.cpp
@@ -6,7 +6,7 @@
 namespace zincstep {
 
 void AssertFailed(const char* aExpression, const char* aFile, int aLine) {
-  std::fprintf(stderr, "%s:%d: invariant broken: %s\n", aFile, aLine,
+  std::fprintf(stderr, "%s:%d: invariant violated: %s\n", aFile, aLine,
                aExpression);
   std::abort();
 }
--- a/Zincstep/Core/Assert.h
+++ b/Zincstep/Core/Assert.h
@@ -2,14 +2,14 @@
 
 namespace zincstep {
 
-/// Prints the broken invariant to stderr and ends the process.
+/// Prints the violated invariant to stderr and aborts the process.
 [[noreturn]] void AssertFailed(const char* aExpression, const char* aFile,
                                int aLine);
 
 }  // namespace zincstep
 
-/// Checks an invariant in every build: a daemon that has broken one must
-/// stop, since a wrong answer costs its callers more than a lost VM.
+/// Checks an invariant in all build types. A daemon that violates one must
+/// stop: a wrong response costs callers more than a lost VM.
 #define ZINCSTEP_ASSERT(aExpression)                              \
   do {                                                            \
     if (!(aExpression)) {                                         \
--- a/Zincstep/Core/Channel.h
+++ b/Zincstep/Core/Channel.h
@@ -12,39 +12,42 @@
 
 namespace zincstep {
 
-/// Wakes the one thread that waits on it; shared by its incoming rings.
+/// Wakes one waiting thread; shared by the thread's incoming channels.
 class WakeEvent {
  public:
-  /// Wakes the waiting thread, or lets its next wait return at once.
+  /// Wakes the waiting thread, or makes its next wait return immediately.
   void Notify() {
-    if (this->rung.exchange(true, std::memory_order_acq_rel)) {
+    if (this->isNotified.exchange(true, std::memory_order_acq_rel)) {
       return;
     }
     const std::lock_guard<std::mutex> lock(this->mutex);
-    this->signal.notify_one();
+    this->condition.notify_one();
   }
 
-  /// Waits for a ring, at most `aSpan`.
-  void Wait(Micros aSpan) {
+  /// Waits for a notification, at most `aTimeout`.
+  void Wait(Micros aTimeout) {
     std::unique_lock<std::mutex> lock(this->mutex);
-    this->signal.wait_for(lock, aSpan, [this] { return this->rung.load(); });
-    this->rung.store(false, std::memory_order_release);
+    this->condition.wait_for(lock, aTimeout,
+                             [this] { return this->isNotified.load(); });
+    this->isNotified.store(false, std::memory_order_release);
   }
 
  private:
-  std::atomic<bool> rung{false};
+  std::atomic<bool> isNotified{false};
   std::mutex mutex;
-  std::condition_variable signal;
+  std::condition_variable condition;
 };
 
-/// A bounded ring of messages from many threads to one, with a doorbell.
+/// Bounded lock-free queue of messages from many threads to one, with a wake-up
+/// event.
 ///
-/// The ring holds pointers, since the messages own memory of their own.
+/// The queue stores pointers, because `boost::lockfree::queue` requires a
+/// trivial element type and messages own memory.
 template <class T>
 class Channel {
  public:
-  Channel(std::size_t aCapacity, WakeEvent& aDoorbell)
-      : ring(aCapacity), doorbell(aDoorbell) {}
+  Channel(std::size_t aCapacity, WakeEvent& aWakeEvent)
+      : queue(aCapacity), wakeEvent(aWakeEvent) {}
 
   Channel(const Channel&) = delete;
   Channel& operator=(const Channel&) = delete;
@@ -54,29 +57,29 @@
     }
   }
 
-  /// Appends `aMessage`; false when the ring is full.
+  /// Appends `aMessage`; returns false if the queue is full.
   bool Push(T aMessage) {
     auto owned = std::make_unique<T>(std::move(aMessage));
-    if (!this->ring.bounded_push(owned.get())) {
+    if (!this->queue.bounded_push(owned.get())) {
       return false;
     }
     (void)owned.release();
-    this->doorbell.Notify();
+    this->wakeEvent.Notify();
     return true;
   }
 
-  /// The oldest message, or null when the ring is empty.
+  /// Removes and returns the oldest message; null if the queue is empty.
   std::unique_ptr<T> Pop() {
     T* message = nullptr;
-    if (!this->ring.pop(message)) {
+    if (!this->queue.pop(message)) {
       return nullptr;
     }
     return std::unique_ptr<T>(message);
   }
 
  private:
-  boost::lockfree::queue<T*> ring;
-  WakeEvent& doorbell;
+  boost::lockfree::queue<T*> queue;
+  WakeEvent& wakeEvent;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Core/Core.h
+++ b/Zincstep/Core/Core.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// \file
-/// Public header of the core library: time, errors, hashes and rings.
+/// Public header of the core library: time, errors, hashes, channels and task
+/// threads.
 
 #include "Zincstep/Core/Assert.h"
 #include "Zincstep/Core/Channel.h"
--- a/Zincstep/Core/Error.cpp
+++ b/Zincstep/Core/Error.cpp
@@ -11,7 +11,7 @@
 using K = ErrorKind;
 using O = Outcome;
 
-constexpr std::array kAnswers{
+constexpr std::array kErrorInfos{
     ErrorInfo{K::BadRequest, "bad_request", 400, O::NotRun, 0s},
     ErrorInfo{K::Unauthenticated, "unauthenticated", 401, O::NotRun, 0s},
     ErrorInfo{K::Forbidden, "forbidden", 403, O::NotRun, 0s},
@@ -50,22 +50,24 @@
     ErrorInfo{K::Internal, "internal", 500, O::MayHaveRun, 0s},
 };
 
-constexpr bool TableIsInOrder() {
-  for (std::size_t i = 0; i < kAnswers.size(); ++i) {
-    if (static_cast<std::size_t>(kAnswers[i].kind) != i) {
+constexpr bool IsTableInOrder() {
+  for (std::size_t i = 0; i < kErrorInfos.size(); ++i) {
+    if (static_cast<std::size_t>(kErrorInfos[i].kind) != i) {
       return false;
     }
   }
-  return kAnswers.size() == static_cast<std::size_t>(K::Internal) + 1;
+  return kErrorInfos.size() == static_cast<std::size_t>(K::Internal) + 1;
 }
-static_assert(TableIsInOrder(), "one row a kind, in the order of the list");
+static_assert(
+    IsTableInOrder(),
+    "kErrorInfos must have one row per ErrorKind, in the order of the enum");
 
 }  // namespace
 
 const ErrorInfo& ErrorInfoFor(ErrorKind aKind) {
-  const auto row = static_cast<std::size_t>(aKind);
-  ZINCSTEP_ASSERT(row < kAnswers.size());
-  return kAnswers[row];
+  const auto index = static_cast<std::size_t>(aKind);
+  ZINCSTEP_ASSERT(index < kErrorInfos.size());
+  return kErrorInfos[index];
 }
 
 std::string_view NameOf(Outcome aOutcome) {
--- a/Zincstep/Core/Error.h
+++ b/Zincstep/Core/Error.h
@@ -9,10 +9,10 @@
 
 namespace zincstep {
 
-/// What a caller may conclude about its request from a refusal.
+/// What an error response implies about the execution of the request.
 enum class Outcome { NotRun, MayHaveRun, Ran };
 
-/// Every kind of error that leaves a library of zincstep: the closed list.
+/// All kinds of errors that zincstep's libraries return.
 enum class ErrorKind {
   BadRequest,
   Unauthenticated,
@@ -48,30 +48,31 @@
   Internal,
 };
 
-/// One row of the table from error kind to the answer a caller gets.
+/// How an error kind is reported to callers.
 struct ErrorInfo {
   ErrorKind kind;
   std::string_view name;
   int status;
   Outcome outcome;
-  /// When to come back; zero where coming back does not help.
+  /// Default `Retry-After`; zero if a retry does not help.
   Micros retryAfter;
 };
 
-/// The row of the table for `aKind`.
+/// Returns how `aKind` is reported.
 const ErrorInfo& ErrorInfoFor(ErrorKind aKind);
 
-/// `not_run`, `may_have_run` or `ran`: the word that callers read.
+/// Returns `not_run`, `may_have_run` or `ran`, the text in error responses.
 std::string_view NameOf(Outcome aOutcome);
 
-/// An error with its kind and a message for people.
+/// An error with its kind and a human-readable message.
 struct Error {
   ErrorKind kind = ErrorKind::Internal;
   std::string message;
-  /// Goes before the table's value where it is set.
+  /// Overrides the default of `kind` if set.
   std::optional<Micros> retryAfter;
 
-  /// When the caller should come back: own value, else the table's.
+  /// Returns the time after which the caller should retry; zero if a retry does
+  /// not help.
   Micros RetryAfter() const {
     return this->retryAfter.value_or(ErrorInfoFor(this->kind).retryAfter);
   }
@@ -80,7 +81,7 @@
 template <class T>
 using Result = tl::expected<T, Error>;
 
-/// A failed result of kind `aKind`.
+/// Returns a failed result of kind `aKind`.
 inline tl::unexpected<Error> Fail(ErrorKind aKind, std::string aMessage) {
   return tl::unexpected<Error>(Error{aKind, std::move(aMessage), {}});
 }
--- a/Zincstep/Core/NameTable.h
+++ b/Zincstep/Core/NameTable.h
@@ -7,11 +7,11 @@
 
 namespace zincstep {
 
-/// The written names of an enum, one row a value.
+/// Text names of an enum, one row per value.
 template <class E, std::size_t N>
 using NameTable = std::array<std::pair<E, std::string_view>, N>;
 
-/// The name of `aValue`, or `unknown` where the table has no row for it.
+/// Returns the name of `aValue`, or `unknown` if the table has no row for it.
 template <class E, std::size_t N>
 constexpr std::string_view NameIn(const NameTable<E, N>& aTable, E aValue) {
   for (const auto& [value, name] : aTable) {
@@ -22,7 +22,7 @@
   return "unknown";
 }
 
-/// The value that is written as `aName`, if there is one.
+/// Returns the value with the name `aName`, if there is one.
 template <class E, std::size_t N>
 constexpr std::optional<E> ValueIn(const NameTable<E, N>& aTable,
                                    std::string_view aName) {
--- a/Zincstep/Core/TaskThread.h
+++ b/Zincstep/Core/TaskThread.h
@@ -9,48 +9,48 @@
 
 namespace zincstep {
 
-/// A thread that does one duty: it runs the tasks of a bounded ring in turn.
+/// A thread that runs the tasks of a bounded queue in order.
 template <class Task>
 class TaskThread {
  public:
   using Run = std::function<void(Task)>;
 
-  /// `aRun` is called on the thread.
+  /// Starts the thread, which calls `aRun` for each task.
   TaskThread(std::size_t aCapacity, Run aRun)
       : run(std::move(aRun)),
-        tasks(aCapacity, this->doorbell),
-        thread([this] { this->Loop(); }) {}
+        tasks(aCapacity, this->wakeEvent),
+        thread([this] { this->RunLoop(); }) {}
 
-  /// Waits for the task that runs; those that wait are dropped.
+  /// Waits for the running task; queued tasks are dropped.
   ~TaskThread() {
-    this->stopping = true;
-    this->doorbell.Notify();
+    this->isStopping = true;
+    this->wakeEvent.Notify();
     this->thread.join();
   }
 
   TaskThread(const TaskThread&) = delete;
   TaskThread& operator=(const TaskThread&) = delete;
 
-  /// Adds a task; false where the ring is full.
+  /// Appends a task; returns false if the queue is full.
   bool Push(Task aTask) { return this->tasks.Push(std::move(aTask)); }
 
  private:
-  /// Longest sleep between looks at whether to stop.
-  static constexpr Micros kMaxSleep = 1s;
+  /// Maximum wait between checks of `isStopping`.
+  static constexpr Micros kMaxWait = 1s;
 
-  void Loop() {
-    while (!this->stopping) {
-      this->doorbell.Wait(kMaxSleep);
-      while (auto task = this->stopping ? nullptr : this->tasks.Pop()) {
+  void RunLoop() {
+    while (!this->isStopping) {
+      this->wakeEvent.Wait(kMaxWait);
+      while (auto task = this->isStopping ? nullptr : this->tasks.Pop()) {
         this->run(std::move(*task));
       }
     }
   }
 
   Run run;
-  WakeEvent doorbell;
+  WakeEvent wakeEvent;
   Channel<Task> tasks;
-  std::atomic<bool> stopping{false};
+  std::atomic<bool> isStopping{false};
   std::thread thread;
 };
 
--- a/Zincstep/Core/Time.h
+++ b/Zincstep/Core/Time.h
@@ -7,28 +7,28 @@
 
 namespace zincstep {
 
-/// A span of time in whole microseconds, the unit of every decision.
+/// Duration in microseconds, the resolution of all decisions.
 using Micros = std::chrono::microseconds;
 
-/// A point on a monotonic clock; only differences have a meaning.
+/// Point on a monotonic clock; only differences are meaningful.
 using Instant = std::chrono::time_point<std::chrono::steady_clock, Micros>;
 
 using namespace std::chrono_literals;
 
-/// Source of monotonic time, passed in so that tests can set it by hand.
+/// Source of monotonic time, injected so that tests can control it.
 class Clock {
  public:
   virtual ~Clock() = default;
 
-  /// The present instant; it never goes back.
+  /// Returns the current instant; never decreases.
   virtual Instant Now() const = 0;
 };
 
-/// The machine's monotonic clock with the time in which it was suspended.
+/// The VM's monotonic clock, including time in suspension (`CLOCK_BOOTTIME`).
 ///
-/// The usual steady clock stands still meanwhile: after five seconds away a
-/// proof, a lease or a deadline looked as old as before, while the others had
-/// gone on.
+/// `std::chrono::steady_clock` stops during suspension: after 5 s of it,
+/// validations, leases and deadlines seemed as young as before, while the other
+/// VMs had continued.
 class SystemClock final : public Clock {
  public:
   Instant Now() const override {
@@ -40,32 +40,32 @@
   }
 };
 
-/// A clock that stands still until it is advanced.
+/// Clock that changes only by `Advance`.
 class FakeClock final : public Clock {
  public:
   Instant Now() const override { return this->now; }
 
-  /// Moves the clock on by `aSpan`.
-  void Advance(Micros aSpan) { this->now += aSpan; }
+  /// Advances the clock by `aDuration`.
+  void Advance(Micros aDuration) { this->now += aDuration; }
 
  private:
   Instant now{Micros{1'000'000}};
 };
 
-/// Microseconds since 1970, for what people and other VMs read; never for
-/// a decision.
+/// Returns microseconds since the Unix epoch, for output to people and other
+/// VMs; not for decisions.
 inline std::int64_t WallMicros() {
   return std::chrono::duration_cast<Micros>(
              std::chrono::system_clock::now().time_since_epoch())
       .count();
 }
 
-/// Length of `aSpan` in seconds, for rates.
-inline double ToSeconds(Micros aSpan) {
-  return static_cast<double>(aSpan.count()) / 1e6;
+/// Returns `aDuration` in seconds, for rates.
+inline double ToSeconds(Micros aDuration) {
+  return static_cast<double>(aDuration.count()) / 1e6;
 }
 
-/// `aSeconds` as a whole number of microseconds.
+/// Returns `aSeconds` as microseconds, truncated.
 inline Micros FromSeconds(double aSeconds) {
   return Micros{static_cast<std::int64_t>(aSeconds * 1e6)};
 }
--- a/Zincstep/Core/TokenBucket.h
+++ b/Zincstep/Core/TokenBucket.h
@@ -6,29 +6,31 @@
 
 namespace zincstep {
 
-/// What may be spent: refilled at a rate, up to a most, and full at first.
+/// Token bucket that is refilled at a constant rate up to its capacity;
+/// initially full.
 ///
-/// A spender may go below zero where it learns late what a thing costs.
+/// The balance may become negative, for costs that are known only afterwards.
 class TokenBucket {
  public:
-  TokenBucket(double aPerSecond, double aMost)
-      : perSecond(aPerSecond), most(aMost), tokens(aMost) {}
+  TokenBucket(double aPerSecond, double aCapacity)
+      : perSecond(aPerSecond), capacity(aCapacity), tokens(aCapacity) {}
 
-  /// What is there at `aNow`, which must not go back.
+  /// Returns the balance at `aNow`, which must not decrease between calls.
   double At(Instant aNow) {
-    this->tokens =
-        std::min(this->most,
-                 this->tokens + ToSeconds(aNow - this->at) * this->perSecond);
-    this->at = aNow;
+    this->tokens = std::min(
+        this->capacity,
+        this->tokens + ToSeconds(aNow - this->lastRefillAt) * this->perSecond);
+    this->lastRefillAt = aNow;
     return this->tokens;
   }
+  /// Subtracts `aTokens` from the balance.
   void Spend(double aTokens) { this->tokens -= aTokens; }
 
  private:
   double perSecond;
-  double most;
+  double capacity;
   double tokens;
-  Instant at{};
+  Instant lastRefillAt{};
 };
 
 }  // namespace zincstep
--- a/Zincstep/Net/Answers.h
+++ b/Zincstep/Net/Answers.h
@@ -7,15 +7,15 @@
 
 namespace zincstep {
 
-/// The JSON object that tells a caller of an error.
+/// Returns the JSON object that reports an error to a caller.
 ///
 /// `{"error":{"kind":..., "outcome":..., "message":..., "retry_after_ms":..}}`
 std::string ErrorJson(const Error& aError);
 
-/// The refusal of a request: status, `Retry-After` and the JSON object.
+/// Returns the error response: status, `Retry-After` and the JSON object.
 HttpResponse ErrorResponse(const Error& aError);
 
-/// An answer with status 200 and a JSON body.
+/// Returns a response with status 200 and a JSON body.
 HttpResponse JsonResponse(std::string aJson);
 
 }  // namespace zincstep
--- a/Zincstep/Net/CallerConnection.cpp
+++ b/Zincstep/Net/CallerConnection.cpp
@@ -8,22 +8,21 @@
 
 namespace {
 
-/// Unacknowledged bytes end a caller's connection after so long; callers
-/// that were cut off are known by then to have given up.
-constexpr Micros kCallerSilence = 8s;
-/// Bytes of later requests that are read while one runs.
-constexpr std::size_t kMaxUnread = 64 << 10;
-/// Slack over the idle time-out, so that a caller that heeds it never
-/// meets a connection that closes under its request.
+/// A caller's connection is closed when bytes are unacknowledged for so long;
+/// partitioned callers have given up by then.
+constexpr Micros kUnacknowledgedTimeout = 8s;
+/// Bytes of later requests that are read ahead while one runs.
+constexpr std::size_t kMaxReadAheadBytes = 64 << 10;
+/// Added to the idle timeout, so that the connection never closes on a request
+/// of a caller that respects the timeout.
 constexpr Micros kIdleSlack = 1500ms;
-/// Pause before the next attempt where accepting fails for want of
-/// descriptors.
-constexpr Micros kAcceptPause = 50ms;
+/// Delay after a failed accept, which happens when file descriptors run out.
+constexpr Micros kAcceptRetryDelay = 50ms;
 
-void AppendNumber(std::string& aText, std::size_t aNumber, int aBase) {
+void AppendNumber(std::string& aText, std::size_t aValue, int aBase) {
   char digits[24];
   const auto written =
-      std::to_chars(digits, digits + sizeof(digits), aNumber, aBase);
+      std::to_chars(digits, digits + sizeof(digits), aValue, aBase);
   aText.append(digits, written.ptr);
 }
 
@@ -39,14 +38,15 @@
       clock(aClock),
       parser(HttpSide::Request, *this),
       lastActive(aClock.Now()) {
-  SetSocketOptions(this->socket, kCallerSilence);
+  SetSocketOptions(this->socket, kUnacknowledgedTimeout);
   this->parser.SetMaxHeadBytes(aLimits.maxHeaderBytes);
 }
 
 void CallerConnection::Start() { this->Read(); }
 
 void CallerConnection::Read() {
-  if (this->isReading || this->isClosed || this->unread.size() > kMaxUnread) {
+  if (this->isReading || this->isClosed ||
+      this->unparsed.size() > kMaxReadAheadBytes) {
     return;
   }
   this->isReading = true;
@@ -72,42 +72,44 @@
     }
     return;
   }
-  this->unread.append(this->buffer.data(), aSize);
+  this->unparsed.append(this->buffer.data(), aSize);
   if (!this->isBusy) {
-    this->Consume();
+    this->ParseNext();
   }
   this->Read();
 }
 
-void CallerConnection::Consume() {
-  if (this->isClosed || this->unread.empty()) {
+void CallerConnection::ParseNext() {
+  if (this->isClosed || this->unparsed.empty()) {
     return;
   }
-  const auto used = this->parser.Feed(this->unread);
-  if (!used) {
-    this->Refuse(used.error());
+  const auto consumed = this->parser.Feed(this->unparsed);
+  if (!consumed) {
+    this->Reject(consumed.error());
     return;
   }
-  this->unread.erase(0, *used);
+  this->unparsed.erase(0, *consumed);
   this->lastActive = this->clock.Now();
-  if (this->bodyTooLarge) {
-    this->Refuse({ErrorKind::RequestTooLarge, "the body is too long", {}});
+  if (this->isBodyTooLarge) {
+    this->Reject(
+        {ErrorKind::RequestTooLarge, "request body exceeds the limit", {}});
     return;
   }
   if (!this->parser.IsComplete()) {
     return;
   }
   this->isBusy = true;
-  this->closesAfter = this->closesAfter || !this->message.head.keepsAlive;
+  this->closesAfterResponse =
+      this->closesAfterResponse || !this->message.head.keepsAlive;
   this->message.readAt = this->lastActive;
   this->handler.OnRequest(this->shared_from_this(), std::move(this->message));
 }
 
-void CallerConnection::Refuse(const Error& aError) {
+void CallerConnection::Reject(const Error& aError) {
   this->isBusy = true;
-  this->closesAfter = true;
+  this->closesAfterResponse = true;
   const bool isTooLarge = aError.kind == ErrorKind::RequestTooLarge;
-  this->Answer(isTooLarge && !this->bodyTooLarge
+  this->Answer(isTooLarge && !this->isBodyTooLarge
                    ? 431
                    : ErrorInfoFor(aError.kind).status,
                {}, aError.message);
@@ -120,7 +122,7 @@
 
 void CallerConnection::OnBody(std::string_view aPart) {
   if (this->message.body.size() + aPart.size() > this->limits.maxBodyBytes) {
-    this->bodyTooLarge = true;
+    this->isBodyTooLarge = true;
     return;
   }
   this->message.body.append(aPart);
@@ -138,7 +140,7 @@
     this->pending += header.value;
     this->pending += "\r\n";
   }
-  if (this->closesAfter) {
+  if (this->closesAfterResponse) {
     this->pending += "Connection: close\r\n";
   }
 }
@@ -154,7 +156,7 @@
   AppendNumber(this->pending, aBody.size(), 10);
   this->pending += "\r\n\r\n";
   this->pending += aBody;
-  this->FinishAnswer();
+  this->FinishResponse();
 }
 
 void CallerConnection::BeginChunks(int aStatus, const HttpHeaders& aHeaders) {
@@ -182,19 +184,19 @@
     return;
   }
   this->pending += "0\r\n\r\n";
-  this->FinishAnswer();
+  this->FinishResponse();
 }
 
-void CallerConnection::FinishAnswer() {
+void CallerConnection::FinishResponse() {
   this->isBusy = false;
   this->lastActive = this->clock.Now();
   this->parser.Reset();
   this->Flush();
-  if (!this->closesAfter && !this->unread.empty()) {
-    // Not now: the handler is still inside the call that answered.
+  if (!this->closesAfterResponse && !this->unparsed.empty()) {
+    // Deferred: the handler is still inside the call that sent the response.
     asio::post(this->socket.get_executor(), [self = this->shared_from_this()] {
       if (!self->isBusy) {
-        self->Consume();
+        self->ParseNext();
         self->Read();
       }
     });
@@ -221,12 +223,12 @@
     return;
   }
   if (aError) {
-    return;  // Reading tells of the broken connection.
+    return;  // The pending read reports the lost connection.
   }
   this->lastActive = this->clock.Now();
   this->Flush();
-  const bool isAnswered = !this->isBusy && this->closesAfter;
-  if (!this->isWriting && (isAnswered || this->closesWhenSent)) {
+  const bool isResponseSent = !this->isBusy && this->closesAfterResponse;
+  if (!this->isWriting && (isResponseSent || this->closesAfterWrite)) {
     this->Close();
   }
 }
@@ -234,14 +236,14 @@
 void CallerConnection::Abort() { this->Close(); }
 
 void CallerConnection::CloseWhenSent() {
-  this->closesWhenSent = true;
+  this->closesAfterWrite = true;
   if (!this->isWriting) {
     this->Close();
   }
 }
 
 void CallerConnection::CloseWhenDone() {
-  this->closesAfter = true;
+  this->closesAfterResponse = true;
   if (!this->isBusy && !this->isWriting && !this->parser.HasBegun()) {
     this->Close();
   }
@@ -251,16 +253,16 @@
   if (this->isClosed || this->isBusy || this->isWriting) {
     return;
   }
-  const bool midRequest = this->parser.HasBegun();
-  const Micros limit = midRequest ? this->limits.headerTimeout
-                                  : this->limits.idleTimeout + kIdleSlack;
-  if (aNow - this->lastActive <= limit) {
+  const bool isMidRequest = this->parser.HasBegun();
+  const Micros timeout = isMidRequest ? this->limits.headerTimeout
+                                      : this->limits.idleTimeout + kIdleSlack;
+  if (aNow - this->lastActive <= timeout) {
     return;
   }
-  if (midRequest) {
+  if (isMidRequest) {
     this->isBusy = true;
-    this->closesAfter = true;
-    this->Answer(408, {}, "the request did not come whole in time");
+    this->closesAfterResponse = true;
+    this->Answer(408, {}, "request not received completely before the timeout");
   } else {
     this->Close();
   }
@@ -272,7 +274,7 @@
 
 void CallerConnection::Close() {
   this->isClosed = true;
-  asio::error_code ignored;  // Closing is all that is left to do.
+  asio::error_code ignored;  // There is no recovery from a failed close.
   this->socket.close(ignored);
 }
 
@@ -307,15 +309,15 @@
           return;
         }
         if (aError) {
-          auto pause = std::make_shared<asio::steady_timer>(this->loop);
-          pause->expires_after(kAcceptPause);
-          pause->async_wait(
-              [this, pause](const asio::error_code&) { this->Accept(); });
+          auto timer = std::make_shared<asio::steady_timer>(this->loop);
+          timer->expires_after(kAcceptRetryDelay);
+          timer->async_wait(
+              [this, timer](const asio::error_code&) { this->Accept(); });
           return;
         }
         auto connection = std::make_shared<CallerConnection>(
             std::move(aSocket), this->handler, this->limits, this->clock);
-        if (!this->keeps) {
+        if (!this->keepsAlive) {
           connection->DisableKeepAlive();
         }
         this->connections.insert(connection);
@@ -331,7 +333,7 @@
 }
 
 void CallerListener::DisableKeepAlive() {
-  this->keeps = false;
+  this->keepsAlive = false;
   for (const auto& connection : this->connections) {
     connection->DisableKeepAlive();
   }
--- a/Zincstep/Net/CallerConnection.h
+++ b/Zincstep/Net/CallerConnection.h
@@ -13,32 +13,32 @@
 
 class CallerConnection;
 
-/// A complete request with the head as it came.
+/// A complete request with its unmodified head.
 struct CallerMessage {
   HttpHead head;
   std::string body;
-  /// When its last byte was read.
+  /// Time at which its last byte was read.
   Instant readAt;
 };
 
-/// Takes the requests of callers, on the loop's thread.
+/// Handles the requests of callers, on the loop's thread.
 class CallerHandler {
  public:
   virtual ~CallerHandler() = default;
 
-  /// A whole request has come; it is answered through the connection.
+  /// Called with a complete request; the response goes through `aConnection`.
   virtual void OnRequest(const std::shared_ptr<CallerConnection>& aConnection,
                          CallerMessage aMessage) = 0;
-  /// The caller has left before its request was answered.
+  /// Called if the caller disconnects before its response is complete.
   virtual void OnCallerDisconnected(CallerConnection& aConnection) = 0;
 };
 
-/// One connection of a caller; one request at a time.
+/// One connection of a caller; handles one request at a time.
 ///
-/// Reading goes on while a request runs, so that a caller that leaves is
-/// noticed at once. RESTinio reads on as well, but on a thread of its own:
-/// each event of an answer would pay for a thread's wake-up, which costs
-/// more on these VMs than the event itself; so this side is Asio's too.
+/// Reading continues while a request runs, so that a disconnected caller is
+/// detected immediately. RESTinio does so too, but on a thread of its own: each
+/// event of a response would need a thread wake-up, which costs more on these
+/// VMs than the event itself. The caller side therefore uses Asio as well.
 class CallerConnection final
     : public std::enable_shared_from_this<CallerConnection>,
       private HttpParserListener {
@@ -46,42 +46,44 @@
   CallerConnection(asio::ip::tcp::socket aSocket, CallerHandler& aHandler,
                    const CallerLimits& aLimits, const Clock& aClock);
 
-  /// Begins to read.
+  /// Starts reading.
   void Start();
-  /// Answers the present request whole.
+  /// Sends the complete response to the current request.
   void Answer(int aStatus, const HttpHeaders& aHeaders, std::string_view aBody);
-  /// Begins an answer of unknown length, in chunks.
+  /// Starts a chunked response of unknown length.
   void BeginChunks(int aStatus, const HttpHeaders& aHeaders);
-  /// Appends a part to an answer in chunks.
+  /// Sends a part of a chunked response.
   void AppendChunk(std::string_view aPart);
-  /// Ends an answer in chunks as complete.
+  /// Completes a chunked response.
   void EndChunks();
-  /// Closes at once, so that an answer that has begun looks cut short.
+  /// Closes immediately; a started response is truncated.
   void Abort();
-  /// Closes once all bytes so far are out: an answer in chunks looks cut.
+  /// Closes once all pending bytes are written; a chunked response is
+  /// truncated.
   void CloseWhenSent();
-  /// Closes once the present answer is out, or now where none is due.
+  /// Closes after the current response, or now if the connection is idle.
   void CloseWhenDone();
-  /// The next answer is the connection's last.
-  void DisableKeepAlive() { this->closesAfter = true; }
-  /// Closes where a limit of time has passed.
+  /// Closes the connection after the next response.
+  void DisableKeepAlive() { this->closesAfterResponse = true; }
+  /// Enforces the timeouts: responds 408 to an incomplete request, or closes an
+  /// idle connection.
   void CheckTimeouts(Instant aNow);
 
-  /// Bytes that the caller has not taken yet.
+  /// Response bytes that are not written to the socket yet.
   std::size_t PendingBytes() const;
-  /// Whether a request waits for its answer.
+  /// Whether a request is in progress.
   bool IsBusy() const { return this->isBusy; }
   bool IsClosed() const { return this->isClosed; }
 
  private:
   void Read();
   void OnRead(const asio::error_code& aError, std::size_t aSize);
-  void Consume();
-  void Refuse(const Error& aError);
+  void ParseNext();
+  void Reject(const Error& aError);
   void Flush();
   void OnWritten(const asio::error_code& aError);
   void WriteHead(int aStatus, const HttpHeaders& aHeaders);
-  void FinishAnswer();
+  void FinishResponse();
   void Close();
   void OnHead(HttpHead aHead) override;
   void OnBody(std::string_view aPart) override;
@@ -94,8 +96,8 @@
   HttpParser parser;
   CallerMessage message;
   std::array<char, 4 << 10> buffer{};
-  /// Bytes that came and belong to a later request.
-  std::string unread;
+  /// Received bytes that are not parsed yet.
+  std::string unparsed;
   std::string pending;
   std::string writing;
   Instant lastActive;
@@ -103,32 +105,33 @@
   bool isWriting = false;
   bool isBusy = false;
   bool isClosed = false;
-  bool closesAfter = false;
-  bool closesWhenSent = false;
-  bool bodyTooLarge = false;
+  bool closesAfterResponse = false;
+  bool closesAfterWrite = false;
+  bool isBodyTooLarge = false;
 };
 
-/// Accepts callers' connections on one address and keeps their set.
+/// Accepts callers' connections on one address and owns them.
 class CallerListener {
  public:
   CallerListener(asio::io_context& aLoop, CallerHandler& aHandler,
                  const Clock& aClock);
 
-  /// Starts to accept at `host:port`; fails where it is taken.
+  /// Starts accepting at `host:port`; fails if it is invalid or in use.
   Result<void> Start(const std::string& aAddress);
-  /// New limits, in force for all connections.
+  /// Sets the limits of all connections, open ones included.
   void SetLimits(const CallerLimits& aLimits) { this->limits = aLimits; }
-  /// Closes resting connections and ends the others after their answer.
+  /// Closes idle connections now and the others after their response.
   void CloseIdle();
-  /// Each connection closes after its next answer, which says so.
+  /// Closes each connection after its next response, which carries
+  /// `Connection: close`.
   void DisableKeepAlive();
-  /// Enforces limits of time; to be called several times a second.
+  /// Enforces the timeouts; call periodically, several times per second.
   void Tick();
-  /// Requests that wait for their answer.
+  /// Number of requests in progress.
   std::size_t Busy() const;
-  /// Bytes of answers that callers have not taken yet.
+  /// Response bytes that are not written to the callers' sockets yet.
   std::size_t PendingBytes() const;
-  /// Port that is listened on.
+  /// Listening port, once started.
   std::uint16_t Port() const;
 
  private:
@@ -140,7 +143,7 @@
   CallerLimits limits;
   asio::ip::tcp::acceptor acceptor;
   std::unordered_set<std::shared_ptr<CallerConnection>> connections;
-  bool keeps = true;
+  bool keepsAlive = true;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Net/CallerLimits.h
+++ b/Zincstep/Net/CallerLimits.h
@@ -4,13 +4,13 @@
 
 namespace zincstep {
 
-/// Limits of callers' connections; they change with the configuration.
+/// Limits of callers' connections; set by the configuration.
 struct CallerLimits {
   std::size_t maxHeaderBytes = 16 << 10;
   std::size_t maxBodyBytes = 4 << 20;
-  /// Time for a request to come whole from its first byte on.
+  /// Timeout of a partly received request, since the last bytes were read.
   Micros headerTimeout = 3s;
-  /// Time that a connection may rest between requests.
+  /// Time that a connection may be idle between requests.
   Micros idleTimeout = 15s;
 };
 
--- a/Zincstep/Net/ConnectionPool.cpp
+++ b/Zincstep/Net/ConnectionPool.cpp
@@ -8,53 +8,54 @@
 
 namespace {
 
-constexpr Micros kSweepPause = 1s;
-constexpr std::string_view kTimeoutField = "timeout=";
+constexpr Micros kSweepInterval = 1s;
+constexpr std::string_view kTimeoutParameter = "timeout=";
 
-/// How long the other side keeps a resting connection, where it tells.
-std::optional<Micros> KeptTime(const HttpHead& aHead) {
+/// Returns the timeout in the `Keep-Alive` header, if there is one; 0 if it
+/// cannot be parsed.
+std::optional<Micros> KeepAliveTimeout(const HttpHead& aHead) {
   for (const HttpHeader& header : aHead.headers) {
     const std::size_t at = SameHeaderName(header.name, "Keep-Alive")
-                               ? header.value.find(kTimeoutField)
+                               ? header.value.find(kTimeoutParameter)
                                : std::string::npos;
     if (at == std::string::npos) {
       continue;
     }
     const char* end = header.value.data() + header.value.size();
     int seconds = 0;
-    const auto read = std::from_chars(
-        header.value.data() + at + kTimeoutField.size(), end, seconds);
-    return read.ec == std::errc{} ? std::chrono::seconds(seconds) : 0s;
+    const auto parsed = std::from_chars(
+        header.value.data() + at + kTimeoutParameter.size(), end, seconds);
+    return parsed.ec == std::errc{} ? std::chrono::seconds(seconds) : 0s;
   }
   return std::nullopt;
 }
 
-/// Whether the other side has neither closed it nor sent anything.
-bool IsQuiet(TcpSocket& aSocket) {
+/// Returns whether the connection is open and nothing was received on it.
+bool IsUnused(TcpSocket& aSocket) {
   char byte = 0;
-  const auto got =
+  const auto received =
       ::recv(aSocket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+  return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
 }  // namespace
 
-std::optional<TcpSocket> ConnectionPool::Take(const std::string& aUpstream) {
-  const auto found = this->byUpstream.find(aUpstream);
-  if (found == this->byUpstream.end()) {
+std::optional<TcpSocket> ConnectionPool::Acquire(const std::string& aUpstream) {
+  const auto found = this->idleByUpstream.find(aUpstream);
+  if (found == this->idleByUpstream.end()) {
     return std::nullopt;
   }
   const Instant now = this->clock.Now();
-  std::vector<Rest>& resting = found->second;
-  while (!resting.empty()) {
-    // The one that has rested for the shortest time.
-    Rest last = std::move(resting.back());
-    resting.pop_back();
-    if (now < last.until && IsQuiet(last.socket)) {
+  std::vector<IdleConnection>& connections = found->second;
+  while (!connections.empty()) {
+    // The most recently used connection is the most likely to work.
+    IdleConnection last = std::move(connections.back());
+    connections.pop_back();
+    if (now < last.expiresAt && IsUnused(last.socket)) {
       return std::move(last.socket);
     }
   }
-  this->byUpstream.erase(found);
+  this->idleByUpstream.erase(found);
   return std::nullopt;
 }
 
@@ -62,47 +63,48 @@
                          const HttpHead& aHead) {
   const Instant now = this->clock.Now();
   this->Sweep(now);
-  const auto distrusted = this->quarantinedUntil.find(aUpstream);
-  const bool isDistrusted =
-      distrusted != this->quarantinedUntil.end() && now < distrusted->second;
-  if (!aHead.keepsAlive || isDistrusted) {
-    return;  // Closed by its end of life.
+  const auto quarantined = this->quarantinedUntil.find(aUpstream);
+  const bool isQuarantined =
+      quarantined != this->quarantinedUntil.end() && now < quarantined->second;
+  if (!aHead.keepsAlive || isQuarantined) {
+    return;  // The destructor of `aSocket` closes the connection.
   }
-  Micros rest = this->settings.maxIdleTime;
-  if (const auto kept = KeptTime(aHead)) {
-    rest = std::min(rest,
-                    FromSeconds(ToSeconds(*kept) * this->settings.keptShare));
+  Micros idleTime = this->settings.maxIdleTime;
+  if (const auto timeout = KeepAliveTimeout(aHead)) {
+    idleTime = std::min(
+        idleTime, FromSeconds(ToSeconds(*timeout) * this->settings.keptShare));
   }
-  std::vector<Rest>& resting = this->byUpstream[aUpstream];
-  if (resting.size() < this->settings.maxIdleConnections) {
-    resting.push_back({std::move(aSocket), now + rest});
+  std::vector<IdleConnection>& connections = this->idleByUpstream[aUpstream];
+  if (connections.size() < this->settings.maxIdleConnections) {
+    connections.push_back({std::move(aSocket), now + idleTime});
   }
 }
 
 void ConnectionPool::Quarantine(const std::string& aUpstream) {
-  this->byUpstream.erase(aUpstream);
+  this->idleByUpstream.erase(aUpstream);
   this->quarantinedUntil[aUpstream] =
       this->clock.Now() + this->settings.quarantineTime;
 }
 
 std::size_t ConnectionPool::IdleCount() const {
-  std::size_t sum = 0;
-  for (const auto& [upstream, resting] : this->byUpstream) {
-    sum += resting.size();
+  std::size_t count = 0;
+  for (const auto& [upstream, connections] : this->idleByUpstream) {
+    count += connections.size();
   }
-  return sum;
+  return count;
 }
 
 void ConnectionPool::Sweep(Instant aNow) {
   if (aNow < this->nextSweep) {
     return;
   }
-  this->nextSweep = aNow + kSweepPause;
-  for (auto& [upstream, resting] : this->byUpstream) {
-    std::erase_if(resting,
-                  [aNow](const Rest& aRest) { return aNow >= aRest.until; });
+  this->nextSweep = aNow + kSweepInterval;
+  for (auto& [upstream, connections] : this->idleByUpstream) {
+    std::erase_if(connections, [aNow](const IdleConnection& aConnection) {
+      return aNow >= aConnection.expiresAt;
+    });
   }
-  std::erase_if(this->byUpstream,
+  std::erase_if(this->idleByUpstream,
                 [](const auto& aEntry) { return aEntry.second.empty(); });
   std::erase_if(this->quarantinedUntil,
                 [aNow](const auto& aEntry) { return aNow >= aEntry.second; });
--- a/Zincstep/Net/ConnectionPool.h
+++ b/Zincstep/Net/ConnectionPool.h
@@ -10,59 +10,64 @@
 
 namespace zincstep {
 
-/// Settings of kept connections.
+/// Settings of pooled connections.
 struct ConnectionPoolSettings {
-  /// Longest time that a connection rests: the longer, the more often it has
-  /// been closed or has fallen silent meanwhile. At the users' sizes the next
-  /// call to a first upstream comes within 0.1 to 1.5 s.
+  /// Maximum time that a connection stays idle. The longer it is, the more
+  /// often the connection has been closed or stopped responding in the
+  /// meantime. At the users' load, calls to a first upstream are 0.1 to 1.5 s
+  /// apart.
   Micros maxIdleTime = 3s;
-  /// Part of the time that the other side keeps a resting connection, as far as
-  /// it tells: its close may be on the way.
+  /// Share of the upstream's `Keep-Alive` timeout, if it sends one, for which a
+  /// connection is reused; close to the timeout, a close may be in flight.
   double keptShare = 0.5;
-  /// Connections that rest for one upstream, which accepts about a thousand
-  /// from all daemons together. Ends and beginnings of streams alternate at
-  /// random: with 4, a quarter of the calls found none (actas-lima quiet-1).
+  /// Maximum idle connections per upstream, which accepts about 1000 from all
+  /// daemons together. Streams start and end in random order: with 4, a quarter
+  /// of the calls found no idle connection (run actas-lima quiet-1).
   std::size_t maxIdleConnections = 12;
-  /// After a connection turned out to be unfit, none is kept for that upstream
-  /// for so long: what has gone wrong there goes on for some seconds.
+  /// After a pooled connection failed, no connection to that upstream is pooled
+  /// for so long: the causes of such failures last for some seconds.
   Micros quarantineTime = 4s;
 };
 
-/// Connections to upstreams that rest between two calls.
+/// Pool of idle connections to upstreams.
 ///
-/// One is kept only behind an answer that came whole with nothing behind it,
-/// and is given out only while nothing has come on it since: a surplus answer
-/// belongs to nobody, and an end is seen before the call is sent. One that has
-/// fallen silent shows no sign; callers find that out by a time-out and tell.
+/// A connection enters the pool only after a complete response without surplus
+/// bytes, and is reused only if nothing was received on it since: surplus bytes
+/// belong to no request, and a close is detected before the call is sent. A
+/// connection that no longer responds cannot be detected; users of the pool
+/// find it by a timeout and call `Quarantine`.
 class ConnectionPool {
  public:
   ConnectionPool(ConnectionPoolSettings aSettings, const Clock& aClock)
       : settings(aSettings), clock(aClock) {}
 
-  /// A connection to an upstream that is fit for another call, if one rests.
-  std::optional<TcpSocket> Take(const std::string& aUpstream);
-  /// A call has ended well on this connection; `aHead` is of its answer.
+  /// Removes and returns a usable idle connection to an upstream, if any.
+  std::optional<TcpSocket> Acquire(const std::string& aUpstream);
+  /// Adds the connection of a completed call, or closes it if it may not be
+  /// pooled. `aHead` is the head of the call's response.
   void Put(const std::string& aUpstream, TcpSocket aSocket,
            const HttpHead& aHead);
-  /// A connection to that upstream was unfit, or it does not answer.
+  /// Closes the idle connections to an upstream and pools none for a while.
+  /// Called when a pooled connection failed or the upstream does not respond.
   void Quarantine(const std::string& aUpstream);
-  /// Closes all that rest: nobody knows what has become of them.
-  void Clear() { this->byUpstream.clear(); }
-  /// Connections that rest.
+  /// Closes all idle connections; called after this VM was suspended, when
+  /// their state is unknown.
+  void Clear() { this->idleByUpstream.clear(); }
+  /// Number of idle connections.
   std::size_t IdleCount() const;
 
  private:
-  struct Rest {
+  struct IdleConnection {
     TcpSocket socket;
-    Instant until;
+    Instant expiresAt;
   };
 
-  /// Closes what has rested for too long.
+  /// Closes expired connections.
   void Sweep(Instant aNow);
 
   ConnectionPoolSettings settings;
   const Clock& clock;
-  std::map<std::string, std::vector<Rest>> byUpstream;
+  std::map<std::string, std::vector<IdleConnection>> idleByUpstream;
   std::map<std::string, Instant> quarantinedUntil;
   Instant nextSweep{};
 };
--- a/Zincstep/Net/CurlClient.cpp
+++ b/Zincstep/Net/CurlClient.cpp
@@ -9,35 +9,36 @@
 
 namespace {
 
-constexpr std::size_t kOrderRing = 1 << 14;
-constexpr int kPollMillis = 1000;
-constexpr long kIdleConnections = 512;
+constexpr std::size_t kCommandCapacity = 1 << 14;
+constexpr int kMaxPollMillis = 1000;
+constexpr long kMaxIdleConnections = 512;
 
-/// A wish of another thread: to start a call, or to cancel one.
-struct Order {
+/// Command from another thread: starts or cancels a call.
+struct Command {
   CallId id = 0;
-  bool cancel = false;
+  bool isCancel = false;
   HttpCall call;
   HttpCallListener* listener = nullptr;
 };
 
-/// A call under way.
-struct Running {
+/// A call in progress.
+struct RunningCall {
   std::unique_ptr<CurlTransfer> transfer;
   HttpCallListener* listener = nullptr;
 };
 
-/// Client with one thread round one multi handle.
+/// Client with one multi handle, owned by one thread.
 class CurlClient final : public HttpClient {
  public:
-  CurlClient() : multi(curl_multi_init()), orders(kOrderRing, this->doorbell) {
+  CurlClient()
+      : multi(curl_multi_init()), commands(kCommandCapacity, this->wakeEvent) {
     ZINCSTEP_ASSERT(this->multi != nullptr);
-    curl_multi_setopt(this->multi, CURLMOPT_MAXCONNECTS, kIdleConnections);
-    this->thread = std::thread([this] { this->Loop(); });
+    curl_multi_setopt(this->multi, CURLMOPT_MAXCONNECTS, kMaxIdleConnections);
+    this->thread = std::thread([this] { this->RunLoop(); });
   }
 
   ~CurlClient() override {
-    this->stopping = true;
+    this->isStopping = true;
     curl_multi_wakeup(this->multi);
     this->thread.join();
     for (auto& [id, running] : this->calls) {
@@ -49,86 +50,87 @@
 
   CallId Start(HttpCall aCall, HttpCallListener& aListener) override {
     const CallId id = ++this->lastCall;
-    Order order;
-    order.id = id;
-    order.call = std::move(aCall);
-    order.listener = &aListener;
-    this->Send(order);
+    Command command;
+    command.id = id;
+    command.call = std::move(aCall);
+    command.listener = &aListener;
+    this->PushCommand(command);
     return id;
   }
 
   void Cancel(CallId aCall) override {
-    Order order;
-    order.id = aCall;
-    order.cancel = true;
-    this->Send(order);
+    Command command;
+    command.id = aCall;
+    command.isCancel = true;
+    this->PushCommand(command);
   }
 
  private:
-  void Send(const Order& aOrder) {
-    while (!this->orders.Push(aOrder)) {
+  void PushCommand(const Command& aCommand) {
+    while (!this->commands.Push(aCommand)) {
       std::this_thread::yield();
     }
     curl_multi_wakeup(this->multi);
   }
 
-  void Loop() {
-    while (!this->stopping) {
-      this->TakeOrders();
-      int running = 0;
-      curl_multi_perform(this->multi, &running);
-      this->TakeEnds();
-      curl_multi_poll(this->multi, nullptr, 0, kPollMillis, nullptr);
+  void RunLoop() {
+    while (!this->isStopping) {
+      this->RunCommands();
+      int runningCount = 0;
+      curl_multi_perform(this->multi, &runningCount);
+      this->CollectFinished();
+      curl_multi_poll(this->multi, nullptr, 0, kMaxPollMillis, nullptr);
     }
   }
 
-  void TakeOrders() {
-    while (const auto order = this->orders.Pop()) {
-      if (order->cancel) {
-        this->CancelNow(order->id);
+  void RunCommands() {
+    while (const auto command = this->commands.Pop()) {
+      if (command->isCancel) {
+        this->CancelCall(command->id);
       } else {
-        this->StartNow(std::move(*order));
+        this->StartCall(std::move(*command));
       }
     }
   }
 
-  void StartNow(Order aOrder) {
-    HttpCallListener* listener = aOrder.listener;
-    const CallId id = aOrder.id;
+  void StartCall(Command aCommand) {
+    HttpCallListener* listener = aCommand.listener;
+    const CallId id = aCommand.id;
     auto transfer = std::make_unique<CurlTransfer>(
-        std::move(aOrder.call), [listener, id](std::string aPart) {
+        std::move(aCommand.call), [listener, id](std::string aPart) {
           listener->OnCallData(id, std::move(aPart));
         });
     CURL* easy = transfer->Handle();
-    this->calls[id] = Running{std::move(transfer), listener};
+    this->calls[id] = RunningCall{std::move(transfer), listener};
     this->byHandle[easy] = id;
     curl_multi_add_handle(this->multi, easy);
   }
 
-  void CancelNow(CallId aCall) {
+  void CancelCall(CallId aCall) {
     const auto found = this->calls.find(aCall);
     if (found == this->calls.end()) {
       return;
     }
     HttpCallResult result;
     result.end = CallEnd::Cancelled;
-    this->End(found->second.transfer->Handle(), std::move(result));
+    this->FinishCall(found->second.transfer->Handle(), std::move(result));
   }
 
-  void TakeEnds() {
-    int left = 0;
-    while (const CURLMsg* message = curl_multi_info_read(this->multi, &left)) {
+  void CollectFinished() {
+    int remaining = 0;
+    while (const CURLMsg* message =
+               curl_multi_info_read(this->multi, &remaining)) {
       if (message->msg != CURLMSG_DONE) {
         continue;
       }
       CURL* easy = message->easy_handle;
       const CURLcode code = message->data.result;
       const CallId id = this->byHandle.at(easy);
-      this->End(easy, this->calls.at(id).transfer->Finish(code));
+      this->FinishCall(easy, this->calls.at(id).transfer->Finish(code));
     }
   }
 
-  void End(CURL* aHandle, HttpCallResult aResult) {
+  void FinishCall(CURL* aHandle, HttpCallResult aResult) {
     const CallId id = this->byHandle.at(aHandle);
     curl_multi_remove_handle(this->multi, aHandle);
     HttpCallListener* listener = this->calls.at(id).listener;
@@ -138,11 +140,11 @@
   }
 
   CURLM* multi;
-  WakeEvent doorbell;
-  Channel<Order> orders;
+  WakeEvent wakeEvent;
+  Channel<Command> commands;
   std::atomic<CallId> lastCall{0};
-  std::atomic<bool> stopping{false};
-  std::unordered_map<CallId, Running> calls;
+  std::atomic<bool> isStopping{false};
+  std::unordered_map<CallId, RunningCall> calls;
   std::unordered_map<CURL*, CallId> byHandle;
   std::thread thread;
 };
--- a/Zincstep/Net/CurlTransfer.cpp
+++ b/Zincstep/Net/CurlTransfer.cpp
@@ -4,18 +4,18 @@
 
 namespace {
 
-/// curl_global_init is not thread-safe, so that it runs once, up front.
+/// Runs `curl_global_init` before `main`, since it is not thread-safe.
 struct CurlLibrary {
   CurlLibrary() { curl_global_init(CURL_GLOBAL_DEFAULT); }
 };
 const CurlLibrary kLibrary;
 
-long Millis(Micros aSpan) {
-  return static_cast<long>((aSpan.count() + 999) / 1000);
+long ToMillis(Micros aDuration) {
+  return static_cast<long>((aDuration.count() + 999) / 1000);
 }
 
-/// What the end of a transfer says of the request's effect.
-CallEnd EndOf(CURLcode aCode, long aRequestBytes) {
+/// Returns what a transfer's end implies for the effect of the request.
+CallEnd CallEndOf(CURLcode aCode, long aRequestBytes) {
   if (aCode == CURLE_OK) {
     return CallEnd::Answered;
   }
@@ -28,8 +28,10 @@
 
 }  // namespace
 
-CurlTransfer::CurlTransfer(HttpCall aCall, PartSink aSink)
-    : call(std::move(aCall)), sink(std::move(aSink)), easy(curl_easy_init()) {
+CurlTransfer::CurlTransfer(HttpCall aCall, PartCallback aOnPart)
+    : call(std::move(aCall)),
+      onPart(std::move(aOnPart)),
+      easy(curl_easy_init()) {
   ZINCSTEP_ASSERT(this->easy != nullptr);
   curl_easy_setopt(this->easy, CURLOPT_URL, this->call.url.c_str());
   curl_easy_setopt(this->easy, CURLOPT_NOSIGNAL, 1L);
@@ -42,7 +44,8 @@
   curl_easy_setopt(this->easy, CURLOPT_HEADERDATA, this);
   this->SetMethod();
   this->SetLimits();
-  // libcurl would wait a second for `100 Continue` before a larger body.
+  // Otherwise libcurl waits 1 s for `100 Continue` before it sends a larger
+  // body.
   this->headerList = curl_slist_append(this->headerList, "Expect:");
   for (const HttpHeader& header : this->call.headers) {
     const std::string line = header.name + ": " + header.value;
@@ -72,8 +75,9 @@
 
 void CurlTransfer::SetLimits() {
   curl_easy_setopt(this->easy, CURLOPT_CONNECTTIMEOUT_MS,
-                   Millis(this->call.connectTimeout));
-  curl_easy_setopt(this->easy, CURLOPT_TIMEOUT_MS, Millis(this->call.timeout));
+                   ToMillis(this->call.connectTimeout));
+  curl_easy_setopt(this->easy, CURLOPT_TIMEOUT_MS,
+                   ToMillis(this->call.timeout));
   if (this->call.freshConnection) {
     curl_easy_setopt(this->easy, CURLOPT_FRESH_CONNECT, 1L);
     curl_easy_setopt(this->easy, CURLOPT_FORBID_REUSE, 1L);
@@ -84,8 +88,8 @@
                                  std::size_t aCount, void* aSelf) {
   auto* self = static_cast<CurlTransfer*>(aSelf);
   const std::size_t bytes = aSize * aCount;
-  if (self->call.streamed && self->sink) {
-    self->sink(std::string(aData, bytes));
+  if (self->call.streamed && self->onPart) {
+    self->onPart(std::string(aData, bytes));
   } else {
     self->result.body.append(aData, bytes);
   }
@@ -100,10 +104,10 @@
   if (colon != std::string_view::npos) {
     const std::size_t start = line.find_first_not_of(' ', colon + 1);
     const std::size_t end = line.find_last_not_of("\r\n");
-    const bool empty = start == std::string_view::npos || end < start;
+    const bool isEmpty = start == std::string_view::npos || end < start;
     self->result.headers.push_back(
         {std::string(line.substr(0, colon)),
-         empty ? "" : std::string(line.substr(start, end - start + 1))});
+         isEmpty ? "" : std::string(line.substr(start, end - start + 1))});
   }
   return line.size();
 }
@@ -114,7 +118,7 @@
   curl_easy_getinfo(this->easy, CURLINFO_RESPONSE_CODE, &status);
   curl_easy_getinfo(this->easy, CURLINFO_REQUEST_SIZE, &requestBytes);
   this->result.status = static_cast<int>(status);
-  this->result.end = EndOf(aCode, requestBytes);
+  this->result.end = CallEndOf(aCode, requestBytes);
   if (aCode != CURLE_OK) {
     this->result.fault = curl_easy_strerror(aCode);
   }
--- a/Zincstep/Net/CurlTransfer.h
+++ b/Zincstep/Net/CurlTransfer.h
@@ -9,13 +9,13 @@
 
 namespace zincstep {
 
-/// One call as an easy handle of libcurl.
+/// One call on an easy handle of libcurl.
 class CurlTransfer {
  public:
-  /// Is given the parts of a streamed body.
-  using PartSink = std::function<void(std::string)>;
+  /// Receives the parts of a streamed body.
+  using PartCallback = std::function<void(std::string)>;
 
-  CurlTransfer(HttpCall aCall, PartSink aSink);
+  CurlTransfer(HttpCall aCall, PartCallback aOnPart);
   ~CurlTransfer();
 
   CurlTransfer(const CurlTransfer&) = delete;
@@ -23,7 +23,8 @@
 
   CURL* Handle() const { return this->easy; }
 
-  /// The result, once libcurl has ended the transfer with `aCode`.
+  /// Returns the result; call once, after libcurl ended the transfer with
+  /// `aCode`.
   HttpCallResult Finish(CURLcode aCode);
 
  private:
@@ -35,7 +36,7 @@
                               std::size_t aCount, void* aSelf);
 
   HttpCall call;
-  PartSink sink;
+  PartCallback onPart;
   CURL* easy = nullptr;
   curl_slist* headerList = nullptr;
   HttpCallResult result;
--- a/Zincstep/Net/HttpClient.h
+++ b/Zincstep/Net/HttpClient.h
@@ -10,19 +10,19 @@
 
 namespace zincstep {
 
-/// How far a call came; decides what may be said of its effect.
+/// How a call ended; determines what is known about its effect.
 enum class CallEnd {
-  /// An answer came whole.
+  /// A complete response was received.
   Answered,
-  /// No byte of the request left this machine.
+  /// No byte of the request was sent.
   NotSent,
-  /// The request may have been acted on, and its answer is not known.
+  /// The request may have been executed; no complete response was received.
   Unknown,
-  /// Its time ran out after bytes of the request had left: as `Unknown`,
-  /// with the cause told. A clock read afterwards cannot tell it, as
-  /// libcurl rounds spans to whole milliseconds.
+  /// As `Unknown`, because the timeout expired after bytes of the request were
+  /// sent. The caller cannot detect this with a clock of its own, since libcurl
+  /// rounds durations to whole milliseconds.
   TimedOut,
-  /// It was cancelled here.
+  /// Cancelled by this client.
   Cancelled,
 };
 
@@ -33,55 +33,55 @@
   HttpHeaders headers;
   std::string body;
   Micros connectTimeout = 1s;
-  /// For the whole call; zero means no limit.
+  /// Timeout of the whole call; zero means no limit.
   Micros timeout = 5s;
-  /// Never reuse a connection. libcurl sends a request again on a new
-  /// connection when a reused one closes without an answer, which would
-  /// run a call twice that must run at most once.
+  /// Never reuse a connection. If a reused connection closes without a
+  /// response, libcurl retries on a new one, which would run a call twice that
+  /// must run at most once.
   bool freshConnection = false;
-  /// Give the body in parts as it comes, instead of whole at the end.
+  /// Pass the body in parts to `OnCallData` instead of in the result.
   bool streamed = false;
 };
 
-/// The end of one call.
+/// Result of one call.
 struct HttpCallResult {
   CallEnd end = CallEnd::Unknown;
   int status = 0;
   HttpHeaders headers;
   std::string body;
-  /// libcurl's words where there is no whole answer.
+  /// libcurl's error text if there is no complete response.
   std::string fault;
 };
 
 using CallId = std::uint64_t;
 
-/// Is told of calls; called on the client's own thread.
+/// Receives the events of calls, on the client's thread.
 class HttpCallListener {
  public:
   virtual ~HttpCallListener() = default;
 
-  /// A part of a streamed body has come.
+  /// Called with a part of a streamed body.
   virtual void OnCallData(CallId aCall, std::string aPart) = 0;
 
-  /// The call has ended; nothing more comes of it.
+  /// Called once when the call has ended; its last event.
   virtual void OnCallEnd(CallId aCall, HttpCallResult aResult) = 0;
 };
 
-/// Many calls at a time on one thread; methods may be called from any.
+/// Runs concurrent calls on one thread; methods are callable from any thread.
 class HttpClient {
  public:
   virtual ~HttpClient() = default;
 
-  /// Starts a call whose events go to `aListener`.
+  /// Starts a call whose events are sent to `aListener`.
   virtual CallId Start(HttpCall aCall, HttpCallListener& aListener) = 0;
-  /// Ends a call early; it ends with `Cancelled` if it had not ended.
+  /// Cancels a call; it ends with `Cancelled` unless it has already ended.
   virtual void Cancel(CallId aCall) = 0;
 };
 
-/// A client by libcurl's multi interface.
+/// Creates a client on libcurl's multi interface.
 std::unique_ptr<HttpClient> MakeHttpClient();
 
-/// Makes one call and waits for its end.
+/// Makes one call and blocks until it has ended.
 HttpCallResult FetchBlocking(const HttpCall& aCall);
 
 }  // namespace zincstep
--- a/Zincstep/Net/HttpMessage.cpp
+++ b/Zincstep/Net/HttpMessage.cpp
@@ -6,11 +6,11 @@
 namespace zincstep {
 
 bool SameHeaderName(std::string_view aLeft, std::string_view aRight) {
-  const auto same = [](unsigned char aA, unsigned char aB) {
-    return std::tolower(aA) == std::tolower(aB);
+  const auto isEqual = [](unsigned char aLeftChar, unsigned char aRightChar) {
+    return std::tolower(aLeftChar) == std::tolower(aRightChar);
   };
   return std::equal(aLeft.begin(), aLeft.end(), aRight.begin(), aRight.end(),
-                    same);
+                    isEqual);
 }
 
 std::string_view FindHeader(const HttpHeaders& aHeaders,
--- a/Zincstep/Net/HttpMessage.h
+++ b/Zincstep/Net/HttpMessage.h
@@ -7,7 +7,7 @@
 
 namespace zincstep {
 
-/// One header field of HTTP.
+/// An HTTP header field.
 struct HttpHeader {
   std::string name;
   std::string value;
@@ -15,17 +15,18 @@
 
 using HttpHeaders = std::vector<HttpHeader>;
 
-/// The value of the first field named `aName`, in any case, or empty.
+/// Returns the value of the first field named `aName`, case-insensitively, or
+/// an empty string.
 std::string_view FindHeader(const HttpHeaders& aHeaders,
                             std::string_view aName);
 
-/// Whether two header names are the same, in any case of letters.
+/// Returns whether two header names are equal, case-insensitively.
 bool SameHeaderName(std::string_view aLeft, std::string_view aRight);
 
-/// Names one request and its answer at the server that took it.
+/// Identifies one request and its response within the server that received it.
 using ExchangeId = std::uint64_t;
 
-/// A complete request of a caller.
+/// A complete request.
 struct HttpRequest {
   ExchangeId exchange = 0;
   std::string method;
@@ -37,14 +38,15 @@
   std::string body;
 };
 
-/// A complete answer.
+/// A complete response.
 struct HttpResponse {
   int status = 200;
   HttpHeaders headers;
   std::string body;
 };
 
-/// The value of `aName` in a query string, or empty.
+/// Returns the value of `aName` in a query string, or an empty string. Does not
+/// decode percent escapes.
 std::string QueryValue(std::string_view aQuery, std::string_view aName);
 
 }  // namespace zincstep
--- a/Zincstep/Net/HttpParser.cpp
+++ b/Zincstep/Net/HttpParser.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Statuses below it are interim answers: the real one follows.
+/// A status below this is an interim response, followed by the final one.
 constexpr int kFirstFinalStatus = 200;
 
 }  // namespace
@@ -33,32 +33,33 @@
 
 const http_parser_settings& HttpParser::Callbacks() {
   static const http_parser_settings settings = [] {
-    http_parser_settings made;
-    http_parser_settings_init(&made);
-    made.on_url = [](http_parser* aParser, const char* aAt, std::size_t aSize) {
+    http_parser_settings result;
+    http_parser_settings_init(&result);
+    result.on_url = [](http_parser* aParser, const char* aAt,
+                       std::size_t aSize) {
       Of(aParser).head.target.append(aAt, aSize);
       return Of(aParser).CountHeadBytes(aSize) ? 0 : 1;
     };
-    made.on_header_field = [](http_parser* aParser, const char* aAt,
-                              std::size_t aSize) {
-      return Of(aParser).OnName({aAt, aSize});
+    result.on_header_field = [](http_parser* aParser, const char* aAt,
+                                std::size_t aSize) {
+      return Of(aParser).OnHeaderName({aAt, aSize});
     };
-    made.on_header_value = [](http_parser* aParser, const char* aAt,
-                              std::size_t aSize) {
-      return Of(aParser).OnValue({aAt, aSize});
+    result.on_header_value = [](http_parser* aParser, const char* aAt,
+                                std::size_t aSize) {
+      return Of(aParser).OnHeaderValue({aAt, aSize});
     };
-    made.on_headers_complete = [](http_parser* aParser) {
+    result.on_headers_complete = [](http_parser* aParser) {
       return Of(aParser).OnHeadersComplete();
     };
-    made.on_body = [](http_parser* aParser, const char* aAt,
-                      std::size_t aSize) {
+    result.on_body = [](http_parser* aParser, const char* aAt,
+                        std::size_t aSize) {
       Of(aParser).listener.OnBody({aAt, aSize});
       return 0;
     };
-    made.on_message_complete = [](http_parser* aParser) {
-      return Of(aParser).OnComplete();
+    result.on_message_complete = [](http_parser* aParser) {
+      return Of(aParser).OnMessageComplete();
     };
-    return made;
+    return result;
   }();
   return settings;
 }
@@ -68,9 +69,9 @@
   return this->headBytes <= this->maxHeadBytes;
 }
 
-int HttpParser::OnName(std::string_view aPart) {
+int HttpParser::OnHeaderName(std::string_view aPart) {
   if (this->hasHead) {
-    return 0;  // A trailer; none is passed on.
+    return 0;  // Trailers are ignored.
   }
   if (this->lastWasValue) {
     this->head.headers.emplace_back();
@@ -80,7 +81,7 @@
   return this->CountHeadBytes(aPart.size()) ? 0 : 1;
 }
 
-int HttpParser::OnValue(std::string_view aPart) {
+int HttpParser::OnHeaderValue(std::string_view aPart) {
   this->lastWasValue = true;
   if (this->hasHead || this->head.headers.empty()) {
     return 0;
@@ -105,8 +106,8 @@
   return 0;
 }
 
-int HttpParser::OnComplete() {
-  const bool isInterim = this->side == HttpSide::Answer &&
+int HttpParser::OnMessageComplete() {
+  const bool isInterim = this->side == HttpSide::Response &&
                          this->parser.status_code < kFirstFinalStatus;
   if (isInterim) {
     this->head = HttpHead{};
@@ -125,14 +126,14 @@
     return std::size_t{0};
   }
   this->hasBegun = true;
-  const std::size_t used = http_parser_execute(&this->parser, &Callbacks(),
-                                               aBytes.data(), aBytes.size());
+  const std::size_t consumed = http_parser_execute(
+      &this->parser, &Callbacks(), aBytes.data(), aBytes.size());
   const auto error = HTTP_PARSER_ERRNO(&this->parser);
   if (error == HPE_OK || error == HPE_PAUSED || this->isComplete) {
-    return used;
+    return consumed;
   }
   if (this->headBytes > this->maxHeadBytes || error == HPE_HEADER_OVERFLOW) {
-    return Fail(ErrorKind::RequestTooLarge, "the head is too long");
+    return Fail(ErrorKind::RequestTooLarge, "message head exceeds the limit");
   }
   return Fail(ErrorKind::BadRequest, http_errno_description(error));
 }
--- a/Zincstep/Net/HttpParser.h
+++ b/Zincstep/Net/HttpParser.h
@@ -11,72 +11,72 @@
 
 namespace zincstep {
 
-/// The head of a request or of an answer.
+/// The head of a request or a response.
 struct HttpHead {
-  /// Of a request; empty in an answer.
+  /// Method of a request; empty in a response.
   std::string method;
-  /// Path and query of a request as they came; empty in an answer.
+  /// Unmodified path and query of a request; empty in a response.
   std::string target;
-  /// Of an answer; 0 in a request.
+  /// Status of a response; 0 in a request.
   int status = 0;
   HttpHeaders headers;
-  /// Whether the sender keeps the connection for another message.
+  /// Whether the sender keeps the connection open after the message.
   bool keepsAlive = true;
 };
 
-/// Is told of the parts of a message as they come.
+/// Receives the parts of a message as they are parsed.
 class HttpParserListener {
  public:
   virtual ~HttpParserListener() = default;
 
-  /// The head is complete.
+  /// Called with the complete head.
   virtual void OnHead(HttpHead aHead) = 0;
-  /// A part of the body without its chunked coding.
+  /// Called with a part of the body, with the chunked coding removed.
   virtual void OnBody(std::string_view aPart) = 0;
-  /// The message is complete.
+  /// Called when the message is complete.
   virtual void OnMessageEnd() = 0;
 };
 
-/// Which messages a parser reads.
-enum class HttpSide { Request, Answer };
+/// Kind of messages that a parser reads.
+enum class HttpSide { Request, Response };
 
-/// Reads HTTP/1.1 messages from a byte stream, one at a time.
+/// Parses HTTP/1.1 messages from a byte stream, one at a time.
 ///
-/// Stops behind each message, so that what follows belongs to the next
-/// one, or to nobody. By the `http_parser` library, which refuses messages
-/// with both a length and a chunked coding.
+/// Stops after each message; bytes that follow belong to the next message, or
+/// are surplus. Based on the `http_parser` library, which rejects messages with
+/// both a content length and a chunked coding.
 class HttpParser {
  public:
   HttpParser(HttpSide aSide, HttpParserListener& aListener);
   HttpParser(const HttpParser&) = delete;
   HttpParser& operator=(const HttpParser&) = delete;
 
-  /// Reads up to the end of the message; gives the bytes consumed.
+  /// Parses up to the end of the message and returns the bytes consumed.
   ///
-  /// Fails with `BadRequest` where the bytes are no message, or with
-  /// `RequestTooLarge` where the head is over the limit.
+  /// Fails with `BadRequest` if the bytes are not valid HTTP/1.1, or with
+  /// `RequestTooLarge` if the head exceeds the limit.
   Result<std::size_t> Feed(std::string_view aBytes);
-  /// The stream has ended; true where that completes the message.
+  /// Signals the end of the stream; returns whether the message is complete.
   bool FeedEnd();
   /// Prepares for the next message on the same stream.
   void Reset();
 
-  /// Longest head that is accepted, in bytes.
+  /// Sets the maximum size of a head, in bytes.
   void SetMaxHeadBytes(std::size_t aBytes) { this->maxHeadBytes = aBytes; }
-  /// Whether the message has ended.
+  /// Whether the current message is complete.
   bool IsComplete() const { return this->isComplete; }
-  /// Whether any byte of the present message has come.
+  /// Whether any byte of the current message was received.
   bool HasBegun() const { return this->hasBegun; }
-  /// Whether the head of the present message is complete.
+  /// Whether the head of the current message is complete.
   bool HasHead() const { return this->hasHead; }
 
  private:
   static HttpParser& Of(http_parser* aParser);
   static const http_parser_settings& Callbacks();
-  int OnName(std::string_view aPart);
-  int OnValue(std::string_view aPart);
+  int OnHeaderName(std::string_view aPart);
+  int OnHeaderValue(std::string_view aPart);
   int OnHeadersComplete();
-  int OnComplete();
+  int OnMessageComplete();
   bool CountHeadBytes(std::size_t aBytes);
 
   HttpParserListener& listener;
--- a/Zincstep/Net/HttpServer.h
+++ b/Zincstep/Net/HttpServer.h
@@ -9,59 +9,61 @@
 
 namespace zincstep {
 
-/// Is told of requests; called on the server's own thread.
+/// Receives requests, on the server's thread.
 class HttpRequestListener {
  public:
   virtual ~HttpRequestListener() = default;
 
-  /// A complete request has come; it must be answered once.
+  /// Called with a complete request, which needs exactly one response.
   virtual void OnRequest(HttpRequest aRequest) = 0;
 
-  /// The caller of an open exchange has gone; an answer goes nowhere.
+  /// Called when the caller of an open exchange has disconnected; a response is
+  /// discarded.
   virtual void OnCallerDisconnected(ExchangeId aExchange) = 0;
 };
 
 /// Settings of an HTTP server.
 struct HttpServerSettings {
   std::string address = "127.0.0.1";
-  /// 0 lets the system choose a port.
+  /// Listening port; 0 selects a free one.
   std::uint16_t port = 0;
   std::size_t maxConnections = 4096;
   std::size_t maxBodyBytes = 1 << 20;
   std::size_t maxHeaderFields = 100;
   std::size_t maxHeaderBytes = 16 << 10;
-  /// Time in which a whole request must have come.
+  /// Timeout for receiving a complete request.
   Micros readTimeout = 10s;
-  /// Time in which a written part must have been taken.
+  /// Timeout for writing a part of a response.
   Micros writeTimeout = 30s;
 };
 
-/// An HTTP/1.1 server with one thread; its methods may be called from any.
+/// An HTTP/1.1 server with one thread; methods are callable from any thread.
 class HttpServer {
  public:
   virtual ~HttpServer() = default;
 
-  /// Starts to listen; fails where the address is taken.
+  /// Starts listening; fails if the address is invalid or in use.
   virtual Result<void> Start() = 0;
-  /// Closes every connection and ends the thread.
+  /// Closes all connections and ends the thread.
   virtual void Stop() = 0;
-  /// The port that is listened on, once started.
+  /// Listening port, once started.
   virtual std::uint16_t Port() const = 0;
 
-  /// Gives the whole answer of an exchange.
-  virtual void Respond(ExchangeId aExchange, HttpResponse aAnswer) = 0;
-  /// Begins an answer whose body comes in parts.
+  /// Sends the complete response of an exchange.
+  virtual void Respond(ExchangeId aExchange, HttpResponse aResponse) = 0;
+  /// Starts a streamed response.
   virtual void StartStream(ExchangeId aExchange, int aStatus,
                            HttpHeaders aHeaders) = 0;
-  /// Sends a further part of a streamed answer.
+  /// Sends a part of a streamed response.
   virtual void Append(ExchangeId aExchange, std::string aPart) = 0;
-  /// Ends a streamed answer.
+  /// Completes a streamed response.
   virtual void Finish(ExchangeId aExchange) = 0;
-  /// Breaks a streamed answer off, so that it cannot pass for a whole one.
+  /// Truncates a streamed response, so that the caller cannot mistake it for a
+  /// complete one.
   virtual void Abort(ExchangeId aExchange) = 0;
 };
 
-/// An HTTP server by RESTinio.
+/// Creates an HTTP server on RESTinio.
 std::unique_ptr<HttpServer> MakeHttpServer(HttpServerSettings aSettings,
                                            HttpRequestListener& aListener);
 
--- a/Zincstep/Net/Net.h
+++ b/Zincstep/Net/Net.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// Public header of the network library: HTTP server, client and answers.
+/// Public header of the network library: HTTP server, client and responses.
 
 #include "Zincstep/Net/Answers.h"
 #include "Zincstep/Net/HttpClient.h"
--- a/Zincstep/Net/RefusingSocket.cpp
+++ b/Zincstep/Net/RefusingSocket.cpp
@@ -8,77 +8,82 @@
 
 namespace {
 
-constexpr std::size_t kKeptHead = 64 << 10;
-constexpr std::size_t kDrainBytes = 64 << 10;
-constexpr auto kSlowRequest = std::chrono::seconds(1);
+constexpr std::size_t kMaxRecordedHeadBytes = 64 << 10;
+constexpr std::size_t kMaxDrainedBytes = 64 << 10;
+constexpr auto kSlowRequestTimeout = std::chrono::seconds(1);
 
-/// The refusal that fits what came of the message.
-HttpResponse RefusalFor(const ConnectionState& aState) {
-  const auto waited = std::chrono::steady_clock::now() - aState.firstByte;
-  const bool headEnded = aState.head.find("\r\n\r\n") != std::string::npos;
-  if (waited > kSlowRequest) {
-    HttpResponse answer = ErrorResponse(
-        {ErrorKind::BadRequest, "the request did not come in time", {}});
-    answer.status = 408;
-    return answer;
+/// Returns the error response for the received part of a message.
+HttpResponse ErrorResponseFor(const ConnectionState& aState) {
+  const auto elapsed = std::chrono::steady_clock::now() - aState.firstByteAt;
+  const bool isHeadComplete = aState.head.find("\r\n\r\n") != std::string::npos;
+  if (elapsed > kSlowRequestTimeout) {
+    HttpResponse response =
+        ErrorResponse({ErrorKind::BadRequest,
+                       "request not received completely before the timeout",
+                       {}});
+    response.status = 408;
+    return response;
   }
-  if (!headEnded && aState.unparsedBytes >= (4 << 10)) {
-    HttpResponse answer = ErrorResponse(
-        {ErrorKind::RequestTooLarge, "the header fields are too large", {}});
-    answer.status = 431;
-    return answer;
+  if (!isHeadComplete && aState.unparsedBytes >= (4 << 10)) {
+    HttpResponse response = ErrorResponse(
+        {ErrorKind::RequestTooLarge, "header fields exceed the limit", {}});
+    response.status = 431;
+    return response;
   }
   return ErrorResponse({ErrorKind::BadRequest,
-                        "the message is not valid HTTP/1.1 or passes a limit",
+                        "message is not valid HTTP/1.1 or exceeds a limit",
                         {}});
 }
 
-std::string Serialize(const HttpResponse& aAnswer) {
+std::string Serialize(const HttpResponse& aResponse) {
   std::string text =
-      "HTTP/1.1 " + std::to_string(aAnswer.status) + " Refused\r\n";
-  for (const HttpHeader& header : aAnswer.headers) {
+      "HTTP/1.1 " + std::to_string(aResponse.status) + " Refused\r\n";
+  for (const HttpHeader& header : aResponse.headers) {
     text += header.name + ": " + header.value + "\r\n";
   }
-  text += "Content-Length: " + std::to_string(aAnswer.body.size()) + "\r\n";
-  return text + "Connection: close\r\n\r\n" + aAnswer.body;
+  text += "Content-Length: " + std::to_string(aResponse.body.size()) + "\r\n";
+  return text + "Connection: close\r\n\r\n" + aResponse.body;
 }
 
 }  // namespace
 
-void RefusingSocket::NoteRead(ConnectionState& aState,
-                              const asio::error_code& aError,
-                              asio::mutable_buffer aBuffer,
-                              std::size_t aLength) {
+void RefusingSocket::RecordRead(ConnectionState& aState,
+                                const asio::error_code& aError,
+                                asio::mutable_buffer aBuffer,
+                                std::size_t aLength) {
   if (aError) {
-    aState.callerGone = true;
+    aState.isCallerGone = true;
     return;
   }
   if (aState.unparsedBytes == 0) {
-    aState.firstByte = std::chrono::steady_clock::now();
+    aState.firstByteAt = std::chrono::steady_clock::now();
     aState.head.clear();
   }
   aState.unparsedBytes += aLength;
-  const std::size_t room = kKeptHead - std::min(kKeptHead, aState.head.size());
+  const std::size_t remaining =
+      kMaxRecordedHeadBytes -
+      std::min(kMaxRecordedHeadBytes, aState.head.size());
   aState.head.append(static_cast<const char*>(aBuffer.data()),
-                     std::min(room, aLength));
+                     std::min(remaining, aLength));
 }
 
 void RefusingSocket::shutdown(shutdown_type aType, asio::error_code& aError) {
-  const auto held = this->state;
-  if (held->pendingRequests > 0 && held->onClosed) {
-    std::exchange(held->onClosed, nullptr)();
+  const auto connection = this->state;
+  if (connection->pendingRequests > 0 && connection->onClosed) {
+    std::exchange(connection->onClosed, nullptr)();
   }
-  const bool refuse = !held->callerGone && held->pendingRequests == 0 &&
-                      held->unparsedBytes > 0;
-  if (refuse) {
-    held->callerGone = true;
+  const bool shouldRespond = !connection->isCallerGone &&
+                             connection->pendingRequests == 0 &&
+                             connection->unparsedBytes > 0;
+  if (shouldRespond) {
+    connection->isCallerGone = true;
     asio::error_code ignored;
     Base::non_blocking(true, ignored);
-    const std::string text = Serialize(RefusalFor(*held));
+    const std::string text = Serialize(ErrorResponseFor(*connection));
     Base::write_some(asio::buffer(text), ignored);
-    // Unread bytes would turn the close into a reset that takes the
-    // answer away from the caller.
-    std::string drained(kDrainBytes, '\0');
+    // Unread bytes would turn the close into a reset, which discards the
+    // response before the caller has read it.
+    std::string drained(kMaxDrainedBytes, '\0');
     Base::read_some(asio::buffer(drained), ignored);
   }
   Base::shutdown(aType, aError);
--- a/Zincstep/Net/RefusingSocket.h
+++ b/Zincstep/Net/RefusingSocket.h
@@ -7,27 +7,27 @@
 
 namespace zincstep {
 
-/// What is known of one connection while RESTinio reads from it.
+/// State of one connection that RESTinio reads from.
 struct ConnectionState {
-  /// Bytes read since the last whole request.
+  /// Bytes read since the last complete request.
   std::size_t unparsedBytes = 0;
-  /// Requests that were handed on and are not answered yet.
+  /// Requests whose response is not complete yet.
   int pendingRequests = 0;
-  /// The last read failed, so that nobody would read an answer.
-  bool callerGone = false;
-  std::chrono::steady_clock::time_point firstByte;
-  /// The start of the message, to tell what was wrong with it.
+  /// The last read failed, so the caller can no longer receive a response.
+  bool isCallerGone = false;
+  std::chrono::steady_clock::time_point firstByteAt;
+  /// Start of the current message, from which the error is determined.
   std::string head;
-  /// Called once when the connection closes with requests pending.
+  /// Called once if the connection closes with pending requests.
   std::function<void()> onClosed;
 };
 
-/// A socket that answers before it closes on a message it cannot read.
+/// A socket that sends a 4xx response before it closes on an invalid message.
 ///
-/// RESTinio closes a connection without a word when a message breaks the
-/// grammar of HTTP, passes a limit or comes too slowly. A caller deserves
-/// a 4xx there. RESTinio lets its traits name the socket type, so the
-/// answer is sent here, in `shutdown`, the last step before the close.
+/// RESTinio closes a connection without a response when a message is not valid
+/// HTTP, exceeds a limit or arrives too slowly. The socket type is a parameter
+/// of RESTinio's traits, so this one sends the response in `shutdown`, the last
+/// step before the close.
 class RefusingSocket : public asio::ip::tcp::socket {
  public:
   using Base = asio::ip::tcp::socket;
@@ -40,52 +40,55 @@
         state(
             std::exchange(aOther.state, std::make_shared<ConnectionState>())) {}
 
-  /// The state of the connection whose bytes are being handled now.
+  /// Returns the state of the connection whose handler runs on this thread, or
+  /// null.
   static std::shared_ptr<ConnectionState>& Current() {
     thread_local std::shared_ptr<ConnectionState> current;
     return current;
   }
 
-  // Handlers are taken by reference: Asio makes the buffers in the same
-  // call out of the handler that it moves, in no certain order.
+  // Handlers are forwarding references: Asio creates the buffers from the
+  // handler in the same call that moves it, in unspecified order.
 
-  /// Reads, and notes how much came since the last whole request.
+  /// Reads, and records the bytes received since the last complete request.
   template <class Buffers, class Handler>
   void async_read_some(const Buffers& aBuffers, Handler&& aHandler) {
-    auto held = this->state;
+    auto connection = this->state;
     const auto buffer =
         asio::mutable_buffer(*asio::buffer_sequence_begin(aBuffers));
     Base::async_read_some(
         aBuffers,
-        [held, buffer, handler = std::forward<Handler>(aHandler)](
+        [connection, buffer, handler = std::forward<Handler>(aHandler)](
             const asio::error_code& aError, std::size_t aLength) mutable {
-          NoteRead(*held, aError, buffer, aLength);
-          Current() = held;
+          RecordRead(*connection, aError, buffer, aLength);
+          Current() = connection;
           handler(aError, aLength);
           Current() = nullptr;
         });
   }
 
-  /// Writes; a request that waits in the buffer is handled after it.
+  /// Writes; sets `Current`, since a buffered request may be handled in the
+  /// write's handler.
   template <class Buffers, class Handler>
   void async_write_some(const Buffers& aBuffers, Handler&& aHandler) {
-    auto held = this->state;
+    auto connection = this->state;
     Base::async_write_some(
         aBuffers,
-        [held, handler = std::forward<Handler>(aHandler)](
+        [connection, handler = std::forward<Handler>(aHandler)](
             const asio::error_code& aError, std::size_t aLength) mutable {
-          Current() = held;
+          Current() = connection;
           handler(aError, aLength);
           Current() = nullptr;
         });
   }
 
-  /// Tells the caller what was wrong, if nobody else does, then shuts down.
+  /// Sends an error response if the current message has none, then shuts down.
   void shutdown(shutdown_type aType, asio::error_code& aError);
 
  private:
-  static void NoteRead(ConnectionState& aState, const asio::error_code& aError,
-                       asio::mutable_buffer aBuffer, std::size_t aLength);
+  static void RecordRead(ConnectionState& aState,
+                         const asio::error_code& aError,
+                         asio::mutable_buffer aBuffer, std::size_t aLength);
 
   std::shared_ptr<ConnectionState> state;
 };
--- a/Zincstep/Net/RestinioServer.cpp
+++ b/Zincstep/Net/RestinioServer.cpp
@@ -19,21 +19,23 @@
 using ChunkedResponse =
     restinio::response_builder_t<restinio::chunked_output_t>;
 
-/// Two, so that RESTinio reads on during an answer and sees a caller go.
+/// With 2, RESTinio keeps reading during a response and detects a caller that
+/// disconnects.
 constexpr std::size_t kPipelinedRequests = 2;
-/// Hard limits: past them RESTinio closes; below them the caller's
-/// request is read whole and refused with the status that fits.
+/// RESTinio closes the connection when a request exceeds a limit by this
+/// factor; below that the complete request is read and rejected with a matching
+/// status.
 constexpr std::size_t kHardLimitFactor = 8;
 constexpr std::size_t kMaxUrlBytes = 8 << 10;
 
-/// One request that has come and is not answered yet.
+/// A request whose response is not complete yet.
 struct Exchange {
   restinio::request_handle_t request;
   std::shared_ptr<ConnectionState> connection;
   std::unique_ptr<ChunkedResponse> stream;
 };
 
-/// Server by RESTinio; all of its state belongs to its one thread.
+/// Server on RESTinio; its state is accessed only on its thread.
 class RestinioServer final : public HttpServer {
  public:
   RestinioServer(HttpServerSettings aSettings, HttpRequestListener& aListener)
@@ -44,7 +46,7 @@
   Result<void> Start() override;
   void Stop() override;
   std::uint16_t Port() const override { return this->port; }
-  void Respond(ExchangeId aExchange, HttpResponse aAnswer) override;
+  void Respond(ExchangeId aExchange, HttpResponse aResponse) override;
   void StartStream(ExchangeId aExchange, int aStatus,
                    HttpHeaders aHeaders) override;
   void Append(ExchangeId aExchange, std::string aPart) override;
@@ -56,11 +58,11 @@
   restinio::request_handling_status_t OnRequest(
       const restinio::request_handle_t& aRequest);
   Result<void> CheckLimits(const HttpRequest& aRequest) const;
-  void Answer(Exchange& aExchange, const HttpResponse& aAnswer);
-  void Forget(ExchangeId aExchange);
-  void OnClosed(ExchangeId aExchange);
+  void SendResponse(Exchange& aExchange, const HttpResponse& aResponse);
+  void RemoveExchange(ExchangeId aExchange);
+  void OnConnectionClosed(ExchangeId aExchange);
 
-  /// Runs `aStep` on the server's thread with the exchange, if still open.
+  /// Runs `aStep` on the server's thread, if the exchange is still open.
   template <class Step>
   void OnThread(ExchangeId aExchange, Step aStep) {
     asio::post(this->server->io_context(),
@@ -119,23 +121,23 @@
 
 Result<void> RestinioServer::Start() {
   this->server = this->MakeServer();
-  std::promise<std::string> opened;
-  this->server->open_async([&opened] { opened.set_value(""); },
-                           [&opened](const std::exception_ptr& aFault) {
+  std::promise<std::string> startError;
+  this->server->open_async([&startError] { startError.set_value(""); },
+                           [&startError](const std::exception_ptr& aError) {
                              try {
-                               std::rethrow_exception(aFault);
-                             } catch (const std::exception& fault) {
-                               opened.set_value(fault.what());
+                               std::rethrow_exception(aError);
+                             } catch (const std::exception& error) {
+                               startError.set_value(error.what());
                              }
                            });
   this->thread = std::thread([this] { this->server->io_context().run(); });
-  const std::string fault = opened.get_future().get();
-  if (fault.empty()) {
+  const std::string error = startError.get_future().get();
+  if (error.empty()) {
     return {};
   }
   this->Stop();
   return Fail(ErrorKind::Internal,
-              "cannot listen on " + this->settings.address + ": " + fault);
+              "cannot listen on " + this->settings.address + ": " + error);
 }
 
 void RestinioServer::Stop() {
@@ -168,18 +170,20 @@
   if (exchange.connection) {
     exchange.connection->unparsedBytes = 0;
     exchange.connection->pendingRequests += 1;
-    exchange.connection->onClosed = [this, id] { this->OnClosed(id); };
+    exchange.connection->onClosed = [this, id] {
+      this->OnConnectionClosed(id);
+    };
   }
-  Exchange& kept =
+  Exchange& stored =
       this->exchanges.emplace(id, std::move(exchange)).first->second;
-  const Result<void> fits = this->CheckLimits(request);
-  if (!fits) {
-    HttpResponse refusal = ErrorResponse(fits.error());
-    const bool headersTooLarge =
+  const Result<void> limitCheck = this->CheckLimits(request);
+  if (!limitCheck) {
+    HttpResponse rejection = ErrorResponse(limitCheck.error());
+    const bool hasTooManyFields =
         request.headers.size() > this->settings.maxHeaderFields;
-    refusal.status = headersTooLarge ? 431 : refusal.status;
-    this->Answer(kept, refusal);
-    this->Forget(id);
+    rejection.status = hasTooManyFields ? 431 : rejection.status;
+    this->SendResponse(stored, rejection);
+    this->RemoveExchange(id);
     return restinio::request_accepted();
   }
   this->listener.OnRequest(std::move(request));
@@ -189,7 +193,7 @@
 Result<void> RestinioServer::CheckLimits(const HttpRequest& aRequest) const {
   if (aRequest.body.size() > this->settings.maxBodyBytes) {
     return Fail(ErrorKind::RequestTooLarge,
-                "the body is larger than " +
+                "request body exceeds " +
                     std::to_string(this->settings.maxBodyBytes) + " bytes");
   }
   std::size_t bytes = 0;
@@ -198,25 +202,26 @@
   }
   if (aRequest.headers.size() > this->settings.maxHeaderFields ||
       bytes > this->settings.maxHeaderBytes) {
-    return Fail(ErrorKind::RequestTooLarge, "the header fields are too large");
+    return Fail(ErrorKind::RequestTooLarge, "header fields exceed the limit");
   }
   return {};
 }
 
-void RestinioServer::Answer(Exchange& aExchange, const HttpResponse& aAnswer) {
+void RestinioServer::SendResponse(Exchange& aExchange,
+                                  const HttpResponse& aResponse) {
   auto response =
       aExchange.request->create_response(restinio::http_status_line_t{
           restinio::http_status_code_t{
-              static_cast<std::uint16_t>(aAnswer.status)},
-          aAnswer.status < 400 ? "OK" : "Refused"});
-  for (const HttpHeader& header : aAnswer.headers) {
+              static_cast<std::uint16_t>(aResponse.status)},
+          aResponse.status < 400 ? "OK" : "Refused"});
+  for (const HttpHeader& header : aResponse.headers) {
     response.append_header(header.name, header.value);
   }
-  response.set_body(aAnswer.body);
+  response.set_body(aResponse.body);
   response.done();
 }
 
-void RestinioServer::Forget(ExchangeId aExchange) {
+void RestinioServer::RemoveExchange(ExchangeId aExchange) {
   const auto found = this->exchanges.find(aExchange);
   if (found == this->exchanges.end()) {
     return;
@@ -227,63 +232,65 @@
   this->exchanges.erase(found);
 }
 
-void RestinioServer::OnClosed(ExchangeId aExchange) {
+void RestinioServer::OnConnectionClosed(ExchangeId aExchange) {
   if (this->exchanges.contains(aExchange)) {
-    this->Forget(aExchange);
+    this->RemoveExchange(aExchange);
     this->listener.OnCallerDisconnected(aExchange);
   }
 }
 
-void RestinioServer::Respond(ExchangeId aExchange, HttpResponse aAnswer) {
-  this->OnThread(aExchange, [this, aExchange,
-                             answer = std::move(aAnswer)](Exchange& aOpen) {
-    this->Answer(aOpen, answer);
-    this->Forget(aExchange);
+void RestinioServer::Respond(ExchangeId aExchange, HttpResponse aResponse) {
+  this->OnThread(aExchange, [this, aExchange, response = std::move(aResponse)](
+                                Exchange& aOpenExchange) {
+    this->SendResponse(aOpenExchange, response);
+    this->RemoveExchange(aExchange);
   });
 }
 
 void RestinioServer::StartStream(ExchangeId aExchange, int aStatus,
                                  HttpHeaders aHeaders) {
-  this->OnThread(
-      aExchange, [aStatus, headers = std::move(aHeaders)](Exchange& aOpen) {
-        aOpen.stream = std::make_unique<ChunkedResponse>(
-            aOpen.request->create_response<restinio::chunked_output_t>(
-                restinio::http_status_line_t{
-                    restinio::http_status_code_t{
-                        static_cast<std::uint16_t>(aStatus)},
-                    "OK"}));
-        for (const HttpHeader& header : headers) {
-          aOpen.stream->append_header(header.name, header.value);
-        }
-        aOpen.stream->flush();
-      });
+  this->OnThread(aExchange, [aStatus, headers = std::move(aHeaders)](
+                                Exchange& aOpenExchange) {
+    aOpenExchange.stream = std::make_unique<ChunkedResponse>(
+        aOpenExchange.request->create_response<restinio::chunked_output_t>(
+            restinio::http_status_line_t{
+                restinio::http_status_code_t{
+                    static_cast<std::uint16_t>(aStatus)},
+                "OK"}));
+    for (const HttpHeader& header : headers) {
+      aOpenExchange.stream->append_header(header.name, header.value);
+    }
+    aOpenExchange.stream->flush();
+  });
 }
 
 void RestinioServer::Append(ExchangeId aExchange, std::string aPart) {
-  this->OnThread(aExchange, [part = std::move(aPart)](Exchange& aOpen) mutable {
-    if (aOpen.stream) {
-      aOpen.stream->append_chunk(std::move(part));
-      aOpen.stream->flush();
-    }
-  });
+  this->OnThread(aExchange,
+                 [part = std::move(aPart)](Exchange& aOpenExchange) mutable {
+                   if (aOpenExchange.stream) {
+                     aOpenExchange.stream->append_chunk(std::move(part));
+                     aOpenExchange.stream->flush();
+                   }
+                 });
 }
 
 void RestinioServer::Finish(ExchangeId aExchange) {
-  this->OnThread(aExchange, [this, aExchange](Exchange& aOpen) {
-    if (aOpen.stream) {
-      aOpen.stream->done();
+  this->OnThread(aExchange, [this, aExchange](Exchange& aOpenExchange) {
+    if (aOpenExchange.stream) {
+      aOpenExchange.stream->done();
     }
-    this->Forget(aExchange);
+    this->RemoveExchange(aExchange);
   });
 }
 
 void RestinioServer::Abort(ExchangeId aExchange) {
-  this->OnThread(aExchange, [this, aExchange](Exchange& aOpen) {
-    // Without the last chunk the caller's library reports a broken answer.
-    if (aOpen.stream) {
-      aOpen.stream->connection_close();
+  this->OnThread(aExchange, [this, aExchange](Exchange& aOpenExchange) {
+    // Without the last chunk the caller's HTTP library reports an incomplete
+    // response.
+    if (aOpenExchange.stream) {
+      aOpenExchange.stream->connection_close();
     }
-    this->Forget(aExchange);
+    this->RemoveExchange(aExchange);
   });
 }
 
--- a/Zincstep/Net/SingleCall.cpp
+++ b/Zincstep/Net/SingleCall.cpp
@@ -6,60 +6,63 @@
 
 namespace {
 
-/// Unanswered bytes end a connection to an upstream after so long; a bound
-/// for sockets only, the relay's own detection is much quicker.
-constexpr Micros kUpstreamSilence = 4s;
-/// The same on a kept connection until the first byte comes back: it may have
-/// fallen silent, and whoever waits should have the time for another try.
-constexpr Micros kReusedSilence = 400ms;
-/// Longest answer of a call that is taken whole, in bytes.
-constexpr std::size_t kMaxWholeAnswer = 16 << 20;
-/// Longest wait for the connection of a call that is taken whole.
-constexpr Micros kWholeConnectTimeout = 700ms;
-
-/// A kept connection has one part in so many of a call's time; the rest is left
-/// for a new one. Without it a report on a silent connection fails (1 of 2 in
-/// the test), and the upstream is left out for 2 s though it lives.
-constexpr int kReusedPart = 2;
-
-/// Collects a whole answer.
-class WholeCall final : public SingleCallListener,
-                        public std::enable_shared_from_this<WholeCall> {
+/// A connection to an upstream is closed when bytes are unacknowledged for so
+/// long. Bounds the socket's lifetime only; the relay's failure detection is
+/// much faster.
+constexpr Micros kUnacknowledgedTimeout = 4s;
+/// The same for a reused connection until its first byte is received: it may no
+/// longer work, and the call needs time for a retry.
+constexpr Micros kReusedUnacknowledgedTimeout = 400ms;
+/// Maximum body of a buffered response; parts that exceed it are discarded.
+constexpr std::size_t kMaxBufferedBodyBytes = 16 << 20;
+/// Connect timeout of a buffered call.
+constexpr Micros kMaxConnectTimeout = 700ms;
+
+/// A reused connection may use 1/kReusedTimeoutDivisor of a call's timeout; the
+/// remainder is for a new connection. Without this, the report call on a reused
+/// connection that no longer responds fails (1 of 2 in the test), and a live
+/// upstream gets no work for 2 s.
+constexpr int kReusedTimeoutDivisor = 2;
+
+/// Call that buffers its complete response.
+class BufferedCall final : public SingleCallListener,
+                           public std::enable_shared_from_this<BufferedCall> {
  public:
-  WholeCall(asio::io_context& aLoop, const SingleCall::Endpoint& aEndpoint,
-            std::string aRequest, std::optional<PooledConnections> aKept,
-            std::function<void(Result<HttpResponse>)> aDone)
+  BufferedCall(asio::io_context& aLoop, const SingleCall::Endpoint& aEndpoint,
+               std::string aRequest, std::optional<PooledConnections> aPooled,
+               std::function<void(Result<HttpResponse>)> aDone)
       : loop(aLoop),
         endpoint(aEndpoint),
         request(std::move(aRequest)),
-        kept(std::move(aKept)),
+        pooled(std::move(aPooled)),
         timer(aLoop),
         done(std::move(aDone)) {}
 
   void Start(Micros aTimeout) {
     this->self = this->shared_from_this();
-    this->connectTimeout = std::min(aTimeout, kWholeConnectTimeout);
-    this->Send(this->kept);
-    const bool mayGoAgain = this->call->IsReusedAndUnanswered();
-    const Micros first = mayGoAgain ? aTimeout / kReusedPart : aTimeout;
-    this->left = aTimeout - first;
-    this->Wait(first);
+    this->connectTimeout = std::min(aTimeout, kMaxConnectTimeout);
+    this->Send(this->pooled);
+    const bool canRetry = this->call->IsReusedAndUnanswered();
+    const Micros firstTimeout =
+        canRetry ? aTimeout / kReusedTimeoutDivisor : aTimeout;
+    this->remaining = aTimeout - firstTimeout;
+    this->StartTimer(firstTimeout);
   }
 
   void OnResponseHead(HttpHead aHead) override {
-    this->answer.status = aHead.status;
-    this->answer.headers = std::move(aHead.headers);
+    this->response.status = aHead.status;
+    this->response.headers = std::move(aHead.headers);
   }
 
   void OnResponseBody(std::string_view aPart) override {
-    if (this->answer.body.size() + aPart.size() <= kMaxWholeAnswer) {
-      this->answer.body.append(aPart);
+    if (this->response.body.size() + aPart.size() <= kMaxBufferedBodyBytes) {
+      this->response.body.append(aPart);
     }
   }
 
   void OnCallEnd(SingleCallEnd aEnd) override {
     if (aEnd == SingleCallEnd::Complete) {
-      this->Finish(std::move(this->answer));
+      this->Finish(std::move(this->response));
       return;
     }
     if (this->call->IsReusedAndUnanswered()) {
@@ -73,25 +76,25 @@
   }
 
  private:
-  void Send(std::optional<PooledConnections> aKept) {
+  void Send(std::optional<PooledConnections> aPooled) {
     this->call = std::make_shared<SingleCall>(this->loop, *this);
     this->call->Start(this->endpoint, this->request, this->connectTimeout,
-                      std::move(aKept));
+                      std::move(aPooled));
   }
 
-  void Wait(Micros aSpan) {
-    this->timer.expires_after(aSpan);
-    this->timer.async_wait(
-        [held = this->shared_from_this()](const asio::error_code& aError) {
-          if (!aError && held->self) {
-            held->OnTimeout();
-          }
-        });
+  void StartTimer(Micros aDuration) {
+    this->timer.expires_after(aDuration);
+    this->timer.async_wait([sharedThis = this->shared_from_this()](
+                               const asio::error_code& aError) {
+      if (!aError && sharedThis->self) {
+        sharedThis->OnTimeout();
+      }
+    });
   }
 
   void OnTimeout() {
-    if (this->left == Micros{0}) {
-      this->GiveUp();
+    if (this->remaining == Micros{0}) {
+      this->Abandon();
       return;
     }
     if (this->call->IsReusedAndUnanswered()) {
@@ -99,23 +102,23 @@
       this->call->Cancel();
       this->Send(std::nullopt);
     }
-    this->Wait(std::exchange(this->left, Micros{0}));
+    this->StartTimer(std::exchange(this->remaining, Micros{0}));
   }
 
-  void GiveUp() {
-    if (this->kept) {
-      this->kept->pool->Quarantine(this->kept->upstream);
+  void Abandon() {
+    if (this->pooled) {
+      this->pooled->pool->Quarantine(this->pooled->upstream);
     }
     this->call->Cancel();
     this->Finish(Fail(this->call->HasSent() ? ErrorKind::DeadlineDuringRun
                                             : ErrorKind::UpstreamUnreachable,
-                      "no answer in time"));
+                      "no response before the timeout"));
   }
 
   void Finish(Result<HttpResponse> aResult) {
-    const auto held = std::move(this->self);
+    const auto sharedThis = std::move(this->self);
     this->timer.cancel();
-    if (held) {
+    if (sharedThis) {
       this->done(std::move(aResult));
     }
   }
@@ -123,15 +126,15 @@
   asio::io_context& loop;
   SingleCall::Endpoint endpoint;
   std::string request;
-  std::optional<PooledConnections> kept;
-  /// Of the call's time, behind the part that is being waited for.
-  Micros left{0};
+  std::optional<PooledConnections> pooled;
+  /// Part of the call's timeout that remains after the current wait.
+  Micros remaining{0};
   Micros connectTimeout{0};
   std::shared_ptr<SingleCall> call;
   asio::steady_timer timer;
   std::function<void(Result<HttpResponse>)> done;
-  std::shared_ptr<WholeCall> self;
-  HttpResponse answer;
+  std::shared_ptr<BufferedCall> self;
+  HttpResponse response;
 };
 
 }  // namespace
@@ -140,23 +143,23 @@
     : socket(aLoop),
       connectTimer(aLoop),
       listener(&aListener),
-      parser(HttpSide::Answer, *this) {}
+      parser(HttpSide::Response, *this) {}
 
 void SingleCall::Start(const Endpoint& aEndpoint, std::string aRequest,
                        Micros aConnectTimeout,
-                       std::optional<PooledConnections> aKept) {
+                       std::optional<PooledConnections> aPooled) {
   this->request = std::move(aRequest);
-  this->kept = std::move(aKept);
-  auto resting =
-      this->kept ? this->kept->pool->Take(this->kept->upstream) : std::nullopt;
-  if (!resting) {
+  this->pooled = std::move(aPooled);
+  auto idle = this->pooled ? this->pooled->pool->Acquire(this->pooled->upstream)
+                           : std::nullopt;
+  if (!idle) {
     this->Connect(aEndpoint, aConnectTimeout);
     return;
   }
-  this->socket = std::move(*resting);
+  this->socket = std::move(*idle);
   this->isReused = true;
   this->hasSent = true;
-  SetSocketOptions(this->socket, kReusedSilence);
+  SetSocketOptions(this->socket, kReusedUnacknowledgedTimeout);
   this->Write();
   this->Read();
 }
@@ -183,7 +186,7 @@
     this->End(SingleCallEnd::NotConnected);
     return;
   }
-  SetSocketOptions(this->socket, kUpstreamSilence);
+  SetSocketOptions(this->socket, kUnacknowledgedTimeout);
   this->hasSent = true;
   this->Write();
   this->Read();
@@ -193,13 +196,13 @@
   auto self = this->shared_from_this();
   asio::async_write(this->socket, asio::buffer(this->request),
                     [self](const asio::error_code&, std::size_t) {
-                      // A broken connection shows on reading, where an
-                      // answer may still lie.
+                      // The read reports a lost connection; a response may
+                      // still be readable.
                     });
 }
 
 void SingleCall::Read() {
-  if (this->isReading || !this->mayRead || this->listener == nullptr) {
+  if (this->isReading || !this->isReadEnabled || this->listener == nullptr) {
     return;
   }
   this->isReading = true;
@@ -217,14 +220,15 @@
     return;
   }
   if (aError) {
-    const bool ended = aError == asio::error::eof && this->parser.FeedEnd();
-    this->End(ended ? SingleCallEnd::Complete : SingleCallEnd::Broken);
+    const bool isComplete =
+        aError == asio::error::eof && this->parser.FeedEnd();
+    this->End(isComplete ? SingleCallEnd::Complete : SingleCallEnd::Broken);
     return;
   }
   if (this->IsReusedAndUnanswered()) {
-    SetSocketOptions(this->socket, kUpstreamSilence);
+    SetSocketOptions(this->socket, kUnacknowledgedTimeout);
   }
-  const auto used = this->parser.Feed({this->buffer.data(), aSize});
+  const auto consumed = this->parser.Feed({this->buffer.data(), aSize});
   if (this->listener == nullptr) {
     return;
   }
@@ -232,26 +236,26 @@
   if (this->listener == nullptr) {
     return;
   }
-  if (!used) {
-    this->End(SingleCallEnd::BadAnswer);
+  if (!consumed) {
+    this->End(SingleCallEnd::BadResponse);
   } else if (this->parser.IsComplete()) {
-    this->Leave(*used < aSize);
+    this->ReturnConnection(*consumed < aSize);
     this->End(SingleCallEnd::Complete);
   } else {
     this->Read();
   }
 }
 
-void SingleCall::Leave(bool aHasSurplus) {
-  if (this->kept && !aHasSurplus) {
-    this->kept->pool->Put(this->kept->upstream, std::move(this->socket),
-                          this->answerHead);
+void SingleCall::ReturnConnection(bool aHasSurplus) {
+  if (this->pooled && !aHasSurplus) {
+    this->pooled->pool->Put(this->pooled->upstream, std::move(this->socket),
+                            this->responseHead);
   }
 }
 
 void SingleCall::OnHead(HttpHead aHead) {
-  if (this->kept) {
-    this->answerHead = aHead;
+  if (this->pooled) {
+    this->responseHead = aHead;
   }
   if (this->listener != nullptr) {
     this->listener->OnResponseHead(std::move(aHead));
@@ -264,9 +268,9 @@
   }
 }
 
-void SingleCall::SetReading(bool aReads) {
-  this->mayRead = aReads;
-  if (aReads && this->hasSent) {
+void SingleCall::SetReading(bool aIsEnabled) {
+  this->isReadEnabled = aIsEnabled;
+  if (aIsEnabled && this->hasSent) {
     this->Read();
   }
 }
@@ -274,37 +278,37 @@
 void SingleCall::Cancel() {
   this->listener = nullptr;
   this->connectTimer.cancel();
-  asio::error_code ignored;  // Closing is all that is left to do.
+  asio::error_code ignored;  // There is no recovery from a failed close.
   this->socket.close(ignored);
 }
 
 void SingleCall::EvictPooled(const char* aReason) {
-  // Others that rest there may have gone the same way, and each would cost a
-  // request the time until that shows.
+  // The upstream's other idle connections may have failed the same way, and
+  // each would delay one request until the failure is detected.
   LogInfo("kept_connection_unfit",
-          {{"upstream", this->kept->upstream}, {"reason", aReason}});
-  this->kept->pool->Quarantine(this->kept->upstream);
+          {{"upstream", this->pooled->upstream}, {"reason", aReason}});
+  this->pooled->pool->Quarantine(this->pooled->upstream);
 }
 
 void SingleCall::End(SingleCallEnd aEnd) {
-  SingleCallListener* told = this->listener;
-  if (told == nullptr) {
+  SingleCallListener* target = this->listener;
+  if (target == nullptr) {
     return;
   }
   if (aEnd == SingleCallEnd::Broken && this->IsReusedAndUnanswered()) {
     this->EvictPooled("broken");
   }
   this->Cancel();
-  told->OnCallEnd(aEnd);
+  target->OnCallEnd(aEnd);
 }
 
 void FetchResponse(asio::io_context& aLoop,
                    const SingleCall::Endpoint& aEndpoint, std::string aRequest,
                    Micros aTimeout,
                    std::function<void(Result<HttpResponse>)> aDone,
-                   std::optional<PooledConnections> aKept) {
-  std::make_shared<WholeCall>(aLoop, aEndpoint, std::move(aRequest),
-                              std::move(aKept), std::move(aDone))
+                   std::optional<PooledConnections> aPooled) {
+  std::make_shared<BufferedCall>(aLoop, aEndpoint, std::move(aRequest),
+                                 std::move(aPooled), std::move(aDone))
       ->Start(aTimeout);
 }
 
--- a/Zincstep/Net/SingleCall.h
+++ b/Zincstep/Net/SingleCall.h
@@ -15,56 +15,58 @@
 
 /// How a call ended.
 enum class SingleCallEnd {
-  /// The answer came whole.
+  /// A complete response was received.
   Complete,
-  /// No connection: not a byte of the request was sent.
+  /// No connection was established; no byte of the request was sent.
   NotConnected,
-  /// The connection broke, or ended before the answer did.
+  /// The connection was lost or closed before the response was complete.
   Broken,
-  /// What came is no answer in the protocol.
-  BadAnswer,
+  /// The received bytes are not a valid HTTP response.
+  BadResponse,
 };
 
 inline constexpr NameTable<SingleCallEnd, 4> kSingleCallEndNames{{
     {SingleCallEnd::Complete, "complete"},
     {SingleCallEnd::NotConnected, "not_connected"},
     {SingleCallEnd::Broken, "broken"},
-    {SingleCallEnd::BadAnswer, "bad_answer"},
+    {SingleCallEnd::BadResponse, "bad_answer"},
 }};
 
-/// Is told of a call's answer, on the loop's thread.
+/// Receives the response of a call, on the loop's thread.
 class SingleCallListener {
  public:
   virtual ~SingleCallListener() = default;
 
-  /// The head of the answer has come.
+  /// Called with the head of the response.
   virtual void OnResponseHead(HttpHead aHead) = 0;
-  /// A part of its body has come.
+  /// Called with a part of the response's body.
   virtual void OnResponseBody(std::string_view aPart) = 0;
-  /// All bytes that lay ready have been told: a time to pass them on.
+  /// Called when all bytes of one read were passed on; the time to flush them.
   virtual void OnResponsePause() {}
-  /// The call has ended; the last that is told.
+  /// Called once when the call has ended; its last event.
   virtual void OnCallEnd(SingleCallEnd aEnd) = 0;
 };
 
-/// Where a call may find a connection that is kept, and leave its own.
+/// Pool from which a call may acquire its connection and to which it returns
+/// it.
 struct PooledConnections {
   ConnectionPool* pool = nullptr;
-  /// Of the upstream that is called, for this incarnation alone.
+  /// Pool key: the upstream's incarnation, so that a restarted upstream does
+  /// not share connections with its predecessor.
   std::string upstream;
 };
 
-/// One request and its answer.
+/// One request and its response.
 ///
-/// Without kept connections it has one of its own: a surplus answer cannot be
-/// taken for another call's, and a request is never lost to a connection that
-/// the other side has just closed. With them it saves the handshake, and may
-/// end as broken without having been read; so it has to be one that may be
-/// sent again.
+/// Without a pool the call opens its own connection: a surplus response cannot
+/// be mistaken for that of another call, and no request is lost on a connection
+/// that the upstream has just closed. With a pool it saves the handshake, but
+/// may end as `Broken` without the upstream having read it, so the request must
+/// be safe to retry.
 ///
-/// RESTinio has no client, and libcurl sends a request again by itself
-/// where a kept connection closes without an answer, which a request that
-/// may run once must not meet; so calls are made by Asio and http_parser.
+/// Uses Asio and http_parser: RESTinio has no client, and libcurl retries a
+/// request by itself when a reused connection closes without a response, which
+/// is wrong for a request that must run at most once.
 class SingleCall final : public std::enable_shared_from_this<SingleCall>,
                          private HttpParserListener {
  public:
@@ -72,21 +74,22 @@
 
   SingleCall(asio::io_context& aLoop, SingleCallListener& aListener);
 
-  /// Connects within `aConnectTimeout` and sends `aRequest`.
+  /// Connects within `aConnectTimeout`, or acquires a pooled connection, and
+  /// sends `aRequest`.
   void Start(const Endpoint& aEndpoint, std::string aRequest,
              Micros aConnectTimeout,
-             std::optional<PooledConnections> aKept = std::nullopt);
-  /// Closes the connection at once; nothing more is told.
+             std::optional<PooledConnections> aPooled = std::nullopt);
+  /// Closes the connection immediately; the listener gets no further events.
   void Cancel();
-  /// The kept connection that it went on is unfit: those of the same upstream
-  /// are not used any more.
+  /// Quarantines the upstream's pooled connections, because the one that this
+  /// call reused failed. `aReason` is logged.
   void EvictPooled(const char* aReason);
-  /// Stops or resumes reading, so that a slow reader holds up the writer.
-  void SetReading(bool aReads);
+  /// Stops or resumes reading, for backpressure on the upstream.
+  void SetReading(bool aIsEnabled);
 
-  /// Whether bytes of the request may have left.
+  /// Whether bytes of the request may have been sent.
   bool HasSent() const { return this->hasSent; }
-  /// Whether it went on a kept connection and nothing has come back.
+  /// Whether the call reused a connection and has received no byte on it.
   bool IsReusedAndUnanswered() const {
     return this->isReused && !this->parser.HasBegun();
   }
@@ -94,8 +97,8 @@
  private:
   void Connect(const Endpoint& aEndpoint, Micros aTimeout);
   void OnConnect(const asio::error_code& aError);
-  /// Leaves the connection to the next call, or closes it.
-  void Leave(bool aHasSurplus);
+  /// Returns the connection to the pool if there were no surplus bytes.
+  void ReturnConnection(bool aHasSurplus);
   void Write();
   void Read();
   void OnRead(const asio::error_code& aError, std::size_t aSize);
@@ -110,26 +113,25 @@
   HttpParser parser;
   std::string request;
   std::array<char, 8 << 10> buffer{};
-  std::optional<PooledConnections> kept;
-  /// Of the answer; without what was told of it.
-  HttpHead answerHead;
+  std::optional<PooledConnections> pooled;
+  /// Head of the response, for the pool; recorded only if there is one.
+  HttpHead responseHead;
   bool isReused = false;
   bool hasSent = false;
   bool isReading = false;
-  bool mayRead = true;
+  bool isReadEnabled = true;
 };
 
-/// Makes a call and gives its whole answer, or how it failed.
+/// Makes a call and passes its complete response or an error to `aDone`.
 ///
-/// `aTimeout` bounds the whole call. Fails with `UpstreamUnreachable`
-/// where nothing was sent, else with `DeadlineDuringRun` where no answer came
-/// in time, and with `ResponseIncomplete` where the connection broke. With
-/// `aKept` the request is sent again, on a new connection, where a kept one
-/// breaks or says nothing.
+/// `aTimeout` bounds the complete call. Fails with `UpstreamUnreachable` if
+/// nothing was sent, with `DeadlineDuringRun` if the timeout expired, and with
+/// `ResponseIncomplete` if the connection was lost. With `aPooled` the request
+/// is retried on a new connection if a reused one fails or does not respond.
 void FetchResponse(asio::io_context& aLoop,
                    const SingleCall::Endpoint& aEndpoint, std::string aRequest,
                    Micros aTimeout,
                    std::function<void(Result<HttpResponse>)> aDone,
-                   std::optional<PooledConnections> aKept = std::nullopt);
+                   std::optional<PooledConnections> aPooled = std::nullopt);
 
 }  // namespace zincstep
--- a/Zincstep/Net/TcpSocket.cpp
+++ b/Zincstep/Net/TcpSocket.cpp
@@ -10,10 +10,12 @@
 
 namespace {
 
-/// An attempt to connect with the time that it has.
-class ReachAttempt : public std::enable_shared_from_this<ReachAttempt> {
+/// One attempt to connect, with its timeout.
+class ReachabilityCheck
+    : public std::enable_shared_from_this<ReachabilityCheck> {
  public:
-  ReachAttempt(asio::io_context& aLoop, std::function<void(Reachability)> aDone)
+  ReachabilityCheck(asio::io_context& aLoop,
+                    std::function<void(Reachability)> aDone)
       : socket(aLoop), timer(aLoop), done(std::move(aDone)) {}
 
   void Start(const TcpEndpoint& aEndpoint, Micros aTimeout) {
@@ -24,8 +26,8 @@
     this->timer.expires_after(aTimeout);
     this->timer.async_wait([self](const asio::error_code& aError) {
       if (!aError) {
-        self->Finish(self->isOpen ? Reachability::Reached
-                                  : Reachability::Silent);
+        self->Finish(self->isConnected ? Reachability::Reached
+                                       : Reachability::Silent);
       }
     });
   }
@@ -40,16 +42,17 @@
     } else if (aError == asio::error::connection_reset) {
       this->Finish(Reachability::Dropped);
     } else if (!aError) {
-      this->isOpen = true;
-      this->Watch();
+      this->isConnected = true;
+      this->WaitForClose();
     }
-    // Any other error is the network's: the other side has said nothing.
+    // Other errors come from the network, not from the other side: wait for the
+    // timeout.
   }
 
-  void Watch() {
+  void WaitForClose() {
     auto self = this->shared_from_this();
     this->socket.async_read_some(
-        asio::buffer(this->unasked),
+        asio::buffer(this->unsolicited),
         [self](const asio::error_code& aError, std::size_t) {
           if (aError) {
             self->Finish(Reachability::Dropped);
@@ -58,34 +61,34 @@
   }
 
   void Finish(Reachability aReachability) {
-    if (const auto tell = std::exchange(this->done, nullptr)) {
-      asio::error_code ignored;  // It is not used any more.
+    if (const auto callback = std::exchange(this->done, nullptr)) {
+      asio::error_code ignored;  // The socket is no longer used.
       this->socket.close(ignored);
       this->timer.cancel();
-      tell(aReachability);
+      callback(aReachability);
     }
   }
 
   TcpSocket socket;
   asio::steady_timer timer;
   std::function<void(Reachability)> done;
-  /// Bytes that come without a request mean nothing.
-  std::array<char, 1> unasked{};
-  bool isOpen = false;
+  /// Bytes received without a request are ignored.
+  std::array<char, 1> unsolicited{};
+  bool isConnected = false;
 };
 
 }  // namespace
 
 void CheckReachable(asio::io_context& aLoop, const TcpEndpoint& aEndpoint,
                     Micros aTimeout, std::function<void(Reachability)> aDone) {
-  std::make_shared<ReachAttempt>(aLoop, std::move(aDone))
+  std::make_shared<ReachabilityCheck>(aLoop, std::move(aDone))
       ->Start(aEndpoint, aTimeout);
 }
 
-void SetSocketOptions(TcpSocket& aSocket, Micros aSilence) {
-  asio::error_code ignored;  // A socket that is closed fails on its next use.
+void SetSocketOptions(TcpSocket& aSocket, Micros aTimeout) {
+  asio::error_code ignored;  // A closed socket fails on its next use.
   aSocket.set_option(asio::ip::tcp::no_delay(true), ignored);
-  const int millis = static_cast<int>(aSilence / 1ms);
+  const int millis = static_cast<int>(aTimeout / 1ms);
   ::setsockopt(aSocket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &millis,
                sizeof(millis));
 }
@@ -94,18 +97,19 @@
   const std::size_t colon = aAddress.rfind(':');
   if (colon == std::string_view::npos) {
     return Fail(ErrorKind::BadRequest,
-                "no port in address: " + std::string(aAddress));
+                "address has no port: " + std::string(aAddress));
   }
   asio::error_code error;
   const auto host =
       asio::ip::make_address(std::string(aAddress.substr(0, colon)), error);
   const std::string_view digits = aAddress.substr(colon + 1);
   std::uint16_t port = 0;
-  const auto read =
+  const auto parsed =
       std::from_chars(digits.data(), digits.data() + digits.size(), port);
-  if (error || read.ec != std::errc{}) {
-    return Fail(ErrorKind::BadRequest,
-                "not an IP number and port: " + std::string(aAddress));
+  if (error || parsed.ec != std::errc{}) {
+    return Fail(
+        ErrorKind::BadRequest,
+        "address is not an IP address and port: " + std::string(aAddress));
   }
   return TcpEndpoint(host, port);
 }
--- a/Zincstep/Net/TcpSocket.h
+++ b/Zincstep/Net/TcpSocket.h
@@ -11,31 +11,32 @@
 using TcpEndpoint = asio::ip::tcp::endpoint;
 using TcpSocket = asio::ip::tcp::socket;
 
-/// The `host:port` text as an endpoint; fails with `BadRequest`.
+/// Parses `host:port`, where the host is an IP address; fails with
+/// `BadRequest`.
 Result<TcpEndpoint> ParseEndpoint(std::string_view aAddress);
 
-/// Sets what each connection of the system needs: no delay of small
-/// packets, and an end to connections whose other side takes no bytes for
-/// `aSilence`.
-void SetSocketOptions(TcpSocket& aSocket, Micros aSilence);
+/// Sets the options of all connections: `TCP_NODELAY`, and `TCP_USER_TIMEOUT`,
+/// which closes a connection whose bytes are unacknowledged for `aTimeout`.
+void SetSocketOptions(TcpSocket& aSocket, Micros aTimeout);
 
-/// What became of an attempt to connect.
+/// Result of an attempt to connect.
 ///
-/// Connections are accepted by the kernel, also for a process that is stopped,
-/// and by a proxy, also for a process that has ended: none of these shows that
-/// a process works there.
+/// None of these proves a working process: the kernel accepts connections for a
+/// stopped process, and a proxy does for a process that has ended.
 enum class Reachability {
-  /// A connection came up and stayed open as long as it was watched.
+  /// A connection was established and stayed open until the timeout.
   Reached,
-  /// A connection came up, and the other side closed it without a request.
+  /// A connection was established and closed by the other side without a
+  /// request, or reset.
   Dropped,
-  /// The other side has said that nobody accepts connections.
+  /// The other side refused the connection.
   Refused,
-  /// Nothing has come back in time.
+  /// No response before the timeout.
   Silent,
 };
 
-/// Connects, and watches the connection until `aTimeout` is over.
+/// Connects and observes the connection until `aTimeout`; then, or on an
+/// earlier result, calls `aDone` once.
 void CheckReachable(asio::io_context& aLoop, const TcpEndpoint& aEndpoint,
                     Micros aTimeout, std::function<void(Reachability)> aDone);
 
--- a/Zincstep/Peer/PeerTransport.h
+++ b/Zincstep/Peer/PeerTransport.h
@@ -52,13 +52,12 @@
   std::size_t maxUnconsumedBytes = 0;
   Micros initialReconnectBackoff = 100ms;
   Micros maxReconnectBackoff = 5s;
-  /// Timeout of an attempt to connect. A SYN to a VM without power is
-  /// retransmitted after 1 s at the earliest, and after longer intervals each
-  /// time, so waiting longer does not help.
+  /// Timeout of an attempt to connect. The kernel retransmits a SYN that was
+  /// lost to a VM without power after 1 s at the earliest, and then at growing
+  /// intervals; a new attempt sends one sooner.
   Micros connectTimeout = 300ms;
-  /// A connection with bytes unacknowledgedTimeout for so long is closed: a
-  /// partition causes no error, and the messages queued behind it become
-  /// outdated.
+  /// A connection with bytes unacknowledged for so long is closed: a partition
+  /// causes no error, and the messages queued behind it become outdated.
   Micros unacknowledgedTimeout = 1s;
   /// An incoming connection is closed after so long without a message.
   Micros idleTimeout = 30s;
