--- a/SoakTests/DaemonProcess.cpp
+++ b/SoakTests/DaemonProcess.cpp
@@ -32,27 +32,26 @@
   posix_spawn_file_actions_addopen(&files, STDOUT_FILENO, this->log.c_str(),
                                    O_WRONLY | O_CREAT | O_APPEND, kLogMode);
   posix_spawn_file_actions_adddup2(&files, STDOUT_FILENO, STDERR_FILENO);
-  // A daemon that held copies of the soak's sockets would keep the connections
-  // open that the soak closes: 2 in 1,000 requests stood still to their
-  // time-out.
+  // Inherited sockets would keep connections open that the soak test closes:
+  // 2 in 1,000 requests stalled until their timeout.
   posix_spawn_file_actions_addclosefrom_np(&files, STDERR_FILENO + 1);
-  std::vector<std::string> lines;
+  std::vector<std::string> assignments;
   for (const auto& [name, value] : this->environment) {
-    lines.push_back(name + "=" + value);
+    assignments.push_back(name + "=" + value);
   }
   std::vector<char*> variables;
-  for (std::string& line : lines) {
+  for (std::string& line : assignments) {
     variables.push_back(line.data());
   }
   variables.push_back(nullptr);
-  std::vector<char*> words{this->program.data(), nullptr};
-  const int failed = posix_spawn(&this->pid, this->program.c_str(), &files,
-                                 nullptr, words.data(), variables.data());
+  std::vector<char*> arguments{this->program.data(), nullptr};
+  const int error = posix_spawn(&this->pid, this->program.c_str(), &files,
+                                nullptr, arguments.data(), variables.data());
   posix_spawn_file_actions_destroy(&files);
-  if (failed != 0) {
+  if (error != 0) {
     this->pid = -1;
   }
-  return failed == 0;
+  return error == 0;
 }
 
 void DaemonProcess::Signal(int aSignal) const {
--- a/SoakTests/DaemonProcess.h
+++ b/SoakTests/DaemonProcess.h
@@ -7,23 +7,25 @@
 
 namespace zincstep::soak {
 
-/// One edge daemon as a process of its own.
+/// Runs one edge daemon as a child process.
 class DaemonProcess {
  public:
-  /// `aEnvironment` holds its settings; its lines go to the end of `aLog`.
+  /// `aEnvironment` holds the daemon's settings; its output is appended to
+  /// the file `aLog`.
   DaemonProcess(std::string aProgram, std::string aLog,
                 std::map<std::string, std::string> aEnvironment);
   ~DaemonProcess();
   DaemonProcess(const DaemonProcess&) = delete;
   DaemonProcess& operator=(const DaemonProcess&) = delete;
 
-  /// Starts it unless it runs; false: it could not be started.
+  /// Starts the process unless it is running. Returns false if it could not be
+  /// started.
   bool Start();
-  /// Sends a signal where it runs.
+  /// Sends a signal if the process is running.
   void Signal(int aSignal) const;
-  /// Whether it runs; notes its end where it does not.
+  /// Returns whether the process is running; reaps it if it has exited.
   bool IsRunning();
-  /// Kills it and waits for its end.
+  /// Kills the process and waits for it to exit.
   void Kill();
 
  private:
--- a/SoakTests/FaultProxy.cpp
+++ b/SoakTests/FaultProxy.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// Between looks whether a silent link is up again.
-constexpr Micros kHeldPause = 20ms;
+/// Between checks whether a blocked link forwards again.
+constexpr Micros kStateCheckInterval = 20ms;
 
 void CloseHard(TcpSocket& aSocket) {
   asio::error_code ignored;  // It may be closed already.
@@ -16,9 +16,9 @@
 }  // namespace
 
 /// One forwarded connection.
-class FaultProxy::Pair : public std::enable_shared_from_this<Pair> {
+class FaultProxy::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Pair(FaultProxy& aProxy, TcpSocket aCaller)
+  Connection(FaultProxy& aProxy, TcpSocket aCaller)
       : proxy(&aProxy), caller(std::move(aCaller)), target(aProxy.loop) {}
 
   void Start() {
@@ -39,13 +39,13 @@
     CloseHard(this->target);
     if (this->proxy != nullptr) {
       std::exchange(this->proxy, nullptr)
-          ->pairs.erase(this->shared_from_this());
+          ->connections.erase(this->shared_from_this());
     }
   }
 
-  void Silence() { this->isSilent = true; }
+  void Blackhole() { this->isBlackholed = true; }
 
-  /// The proxy ends; it takes all pairs out itself.
+  /// Called when the proxy is destroyed, which clears its connection set.
   void Detach() { this->proxy = nullptr; }
 
  private:
@@ -54,70 +54,70 @@
     std::size_t size = 0;
   };
 
-  TcpSocket& From(bool aToTarget) {
+  TcpSocket& SourceOf(bool aToTarget) {
     return aToTarget ? this->caller : this->target;
   }
-  TcpSocket& To(bool aToTarget) {
+  TcpSocket& DestinationOf(bool aToTarget) {
     return aToTarget ? this->target : this->caller;
   }
-  Direction& Of(bool aToTarget) {
+  Direction& DirectionOf(bool aToTarget) {
     return aToTarget ? this->forward : this->backward;
   }
 
   void Pump(bool aToTarget) {
     auto self = this->shared_from_this();
-    this->From(aToTarget).async_read_some(
-        asio::buffer(this->Of(aToTarget).buffer),
+    this->SourceOf(aToTarget).async_read_some(
+        asio::buffer(this->DirectionOf(aToTarget).buffer),
         [self, aToTarget](const asio::error_code& aError, std::size_t aSize) {
-          if (self->isSilent && self->proxy != nullptr) {
-            return;  // The other side hears of nothing, not of the end either.
+          if (self->isBlackholed && self->proxy != nullptr) {
+            return;  // Nothing reaches the other side, not even the close.
           }
           if (aError || self->proxy == nullptr) {
             self->OnEnd(aToTarget, aError);
             return;
           }
-          self->Of(aToTarget).size = aSize;
-          self->Hold(aToTarget, self->proxy->delay);
+          self->DirectionOf(aToTarget).size = aSize;
+          self->ForwardAfter(aToTarget, self->proxy->delay);
         });
   }
 
-  /// An orderly end of one side is passed on, anything else resets both.
+  /// Forwards an orderly close by one side; anything else resets both sides.
   void OnEnd(bool aToTarget, const asio::error_code& aError) {
     if (this->proxy == nullptr || aError != asio::error::eof ||
-        !this->proxy->Passes(aToTarget)) {
+        !this->proxy->CanForward(aToTarget)) {
       this->Close();
       return;
     }
     asio::error_code ignored;  // The other side may be closed already.
-    this->To(aToTarget).shutdown(TcpSocket::shutdown_send, ignored);
+    this->DestinationOf(aToTarget).shutdown(TcpSocket::shutdown_send, ignored);
     if (std::exchange(this->hasEnded, true)) {
       this->Close();
     }
   }
 
-  void Hold(bool aToTarget, Micros aFor) {
-    if (this->isSilent) {
+  void ForwardAfter(bool aToTarget, Micros aDelay) {
+    if (this->isBlackholed) {
       return;
     }
-    if (aFor == Micros{0} && this->proxy->Passes(aToTarget)) {
+    if (aDelay == Micros{0} && this->proxy->CanForward(aToTarget)) {
       this->Forward(aToTarget);
       return;
     }
     auto timer = std::make_shared<asio::steady_timer>(
-        this->caller.get_executor(), std::max(aFor, kHeldPause));
+        this->caller.get_executor(), std::max(aDelay, kStateCheckInterval));
     auto self = this->shared_from_this();
     timer->async_wait([self, timer, aToTarget](const asio::error_code&) {
       if (self->proxy != nullptr) {
-        self->Hold(aToTarget, Micros{0});
+        self->ForwardAfter(aToTarget, Micros{0});
       }
     });
   }
 
   void Forward(bool aToTarget) {
     auto self = this->shared_from_this();
-    const Direction& direction = this->Of(aToTarget);
+    const Direction& direction = this->DirectionOf(aToTarget);
     asio::async_write(
-        this->To(aToTarget),
+        this->DestinationOf(aToTarget),
         asio::buffer(direction.buffer.data(), direction.size),
         [self, aToTarget](const asio::error_code& aError, std::size_t) {
           if (aError || self->proxy == nullptr) {
@@ -134,7 +134,7 @@
   Direction forward;
   Direction backward;
   bool hasEnded = false;
-  bool isSilent = false;
+  bool isBlackholed = false;
 };
 
 FaultProxy::FaultProxy(asio::io_context& aLoop, std::uint16_t aTarget)
@@ -145,26 +145,26 @@
 }
 
 FaultProxy::~FaultProxy() {
-  const auto all = std::move(this->pairs);
-  for (const auto& pair : all) {
-    pair->Detach();
-    pair->Close();
+  const auto all = std::move(this->connections);
+  for (const auto& connection : all) {
+    connection->Detach();
+    connection->Close();
   }
 }
 
-void FaultProxy::Set(LinkState aState) {
+void FaultProxy::SetState(LinkState aState) {
   this->state = aState;
   if (aState == LinkState::Reset) {
-    const auto all = this->pairs;
-    for (const auto& pair : all) {
-      pair->Close();
+    const auto all = this->connections;
+    for (const auto& connection : all) {
+      connection->Close();
     }
   }
 }
 
-void FaultProxy::SilenceOpen() {
-  for (const auto& pair : this->pairs) {
-    pair->Silence();
+void FaultProxy::BlackholeOpen() {
+  for (const auto& connection : this->connections) {
+    connection->Blackhole();
   }
 }
 
@@ -172,7 +172,7 @@
   return this->acceptor.local_endpoint().port();
 }
 
-bool FaultProxy::Passes(bool aIsToTarget) const {
+bool FaultProxy::CanForward(bool aIsToTarget) const {
   return this->state == LinkState::Up ||
          (this->state == LinkState::OneWay && aIsToTarget);
 }
@@ -186,9 +186,10 @@
         if (!aError && this->state == LinkState::Reset) {
           this->ResetLater(std::move(aSocket));
         } else if (!aError) {
-          const auto pair = std::make_shared<Pair>(*this, std::move(aSocket));
-          this->pairs.insert(pair);
-          pair->Start();
+          const auto connection =
+              std::make_shared<Connection>(*this, std::move(aSocket));
+          this->connections.insert(connection);
+          connection->Start();
         }
         this->Accept();
       });
@@ -200,13 +201,13 @@
     this->onReset();
     return;
   }
-  const auto held = std::make_shared<TcpSocket>(std::move(aSocket));
+  const auto socket = std::make_shared<TcpSocket>(std::move(aSocket));
   const auto timer =
       std::make_shared<asio::steady_timer>(this->loop, this->resetDelay);
   timer->async_wait(
-      [held, timer, told = this->onReset](const asio::error_code&) {
-        CloseHard(*held);
-        told();
+      [socket, timer, notify = this->onReset](const asio::error_code&) {
+        CloseHard(*socket);
+        notify();
       });
 }
 
--- a/SoakTests/FaultProxy.h
+++ b/SoakTests/FaultProxy.h
@@ -10,34 +10,36 @@
 
 namespace zincstep::soak {
 
-/// What a proxy does with its connections.
+/// How a proxy treats its connections.
 enum class LinkState {
   Up,
-  /// Nothing passes, and nobody is told.
-  Silent,
-  /// Bytes pass to the target; what it answers does not.
+  /// No bytes are forwarded and neither side gets an error.
+  Blackholed,
+  /// Bytes are forwarded to the target but not back.
   OneWay,
-  /// Open connections are reset, new ones too.
+  /// Open and new connections are reset.
   Reset,
 };
 
-/// Forwards connections on loopback to one port and injects faults.
+/// Forwards loopback connections to one port and injects network faults.
 class FaultProxy {
  public:
   FaultProxy(asio::io_context& aLoop, std::uint16_t aTarget);
   ~FaultProxy();
 
-  void Set(LinkState aState);
-  /// New connections to a link that resets are open for so long before: those
-  /// of a proxy in front of a process that has ended.
+  /// Changes the state; `Reset` resets all open connections at once.
+  void SetState(LinkState aState);
+  /// Sets how long new connections stay open in the `Reset` state before they
+  /// are reset, as with a proxy in front of a process that has exited.
   void SetResetDelay(Micros aDelay) { this->resetDelay = aDelay; }
-  /// Is told of each connection that is accepted and reset.
+  /// Sets the callback for each connection that is accepted and reset.
   void SetOnReset(std::function<void()> aOnReset) {
     this->onReset = std::move(aOnReset);
   }
-  /// All connections that are open now fall silent for good, and neither side
-  /// is told; new ones work.
-  void SilenceOpen();
+  /// Stops forwarding on all open connections for good, without an error to
+  /// either side; new connections work.
+  void BlackholeOpen();
+  /// Delays each chunk of bytes in both directions.
   void SetDelay(Micros aDelay) { this->delay = aDelay; }
   std::uint16_t Port() const;
   std::string Address() const {
@@ -45,12 +47,12 @@
   }
 
  private:
-  class Pair;
+  class Connection;
 
   void Accept();
-  /// Closes a connection hard once the delay of resets is over.
+  /// Resets a connection after the reset delay.
   void ResetLater(TcpSocket aSocket);
-  bool Passes(bool aIsToTarget) const;
+  bool CanForward(bool aIsToTarget) const;
 
   asio::io_context& loop;
   asio::ip::tcp::acceptor acceptor;
@@ -59,7 +61,7 @@
   Micros delay{0};
   Micros resetDelay{0};
   std::function<void()> onReset = [] {};
-  std::unordered_set<std::shared_ptr<Pair>> pairs;
+  std::unordered_set<std::shared_ptr<Connection>> connections;
 };
 
 }  // namespace zincstep::soak
--- /dev/null
+++ b/SoakTests/InvariantChecker.cpp
@@ -0,0 +1,97 @@
+#include "SoakTests/InvariantChecker.h"
+
+#include <fmt/chrono.h>
+
+#include <algorithm>
+#include <chrono>
+
+namespace zincstep::soak {
+
+void InvariantChecker::WriteEvent(const char* aEvent, nlohmann::json aFields) {
+  const auto now = std::chrono::time_point_cast<std::chrono::milliseconds>(
+      std::chrono::system_clock::now());
+  aFields["event"] = aEvent;
+  aFields["program"] = "zincstep-soak";
+  aFields["time"] =
+      fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z",
+                  std::chrono::time_point_cast<std::chrono::seconds>(now),
+                  now.time_since_epoch().count() % 1000);
+  this->events << aFields.dump() << std::endl;
+}
+
+void InvariantChecker::OnRequestSent(const std::string& aId, RequestKind aKind,
+                                     const std::string& aOrganisation,
+                                     Instant aAt) {
+  this->requests[aId] = {aKind, aOrganisation, aAt, 0,
+                         ReportedOutcome::Unknown};
+}
+
+void InvariantChecker::OnRequestRun(const std::string& aId,
+                                    const std::string& aOrganisation) {
+  const auto found = this->requests.find(aId);
+  if (found == this->requests.end()) {
+    this->AddViolation("a request ran that no caller sent: " + aId);
+    return;
+  }
+  Record& record = found->second;
+  record.runs += 1;
+  if (record.organisation != aOrganisation) {
+    this->AddViolation("request " + aId + " ran for " + aOrganisation +
+                       " instead of " + record.organisation);
+  }
+  if (record.kind == RequestKind::Unsafe && record.runs > 1) {
+    this->AddViolation("unsafe request " + aId + " ran more than once");
+  }
+  const auto revocation = this->revoked.find(record.organisation);
+  if (revocation != this->revoked.end() && record.sentAt > revocation->second) {
+    this->AddViolation("request " + aId + " ran with a revoked key");
+  }
+}
+
+void InvariantChecker::OnRequestEnd(const std::string& aId,
+                                    ReportedOutcome aReported) {
+  this->requests[aId].reported = aReported;
+}
+
+std::size_t InvariantChecker::CompletedRequests() const {
+  return static_cast<std::size_t>(std::count_if(
+      this->requests.begin(), this->requests.end(), [](const auto& aOne) {
+        return aOne.second.reported == ReportedOutcome::Completed;
+      }));
+}
+
+void InvariantChecker::CheckTruncated(const std::string& aCause) {
+  for (const std::string& id : this->truncated) {
+    if (this->requests.at(id).runs > 0) {
+      this->AddViolation("request " + id + " ran and was truncated " + aCause);
+    }
+  }
+}
+
+std::size_t InvariantChecker::SendsAfterDetection(Micros aDetectionTime) const {
+  constexpr std::size_t kDetectionCrashes = 3;
+  if (this->crashes.size() < kDetectionCrashes) {
+    return 0;
+  }
+  const Instant detectedAt =
+      this->crashes[kDetectionCrashes - 1] + aDetectionTime;
+  return static_cast<std::size_t>(
+      std::count_if(this->crashingSends.begin(), this->crashingSends.end(),
+                    [detectedAt](Instant aAt) { return aAt > detectedAt; }));
+}
+
+std::vector<std::string> InvariantChecker::Close() {
+  for (const auto& [id, record] : this->requests) {
+    const bool mayNotRepeat = record.kind == RequestKind::Unsafe;
+    if (mayNotRepeat && record.reported == ReportedOutcome::NotRun &&
+        record.runs > 0) {
+      this->AddViolation("request " + id + " was rejected as not run, but ran");
+    }
+    if (record.reported == ReportedOutcome::Completed && record.runs == 0) {
+      this->AddViolation("request " + id + " completed but never ran");
+    }
+  }
+  return this->violations;
+}
+
+}  // namespace zincstep::soak
--- /dev/null
+++ b/SoakTests/InvariantChecker.h
@@ -0,0 +1,98 @@
+#pragma once
+
+#include <fstream>
+#include <map>
+#include <nlohmann/json.hpp>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "Zincstep/Core/Core.h"
+
+namespace zincstep::soak {
+
+/// How a request may be repeated and how its response arrives.
+enum class RequestKind { Safe, Unsafe, Stream };
+
+/// The outcome of a request as reported to its caller.
+enum class ReportedOutcome {
+  /// No response, or an incomplete one.
+  Unknown,
+  Completed,
+  /// The request has not run and never will.
+  NotRun,
+};
+
+/// Records what callers and upstreams observe and checks invariants on it.
+class InvariantChecker {
+ public:
+  /// Opens the file for events: one JSON line each, in the format and with the
+  /// clock of the daemons' logs.
+  void OpenEventLog(const std::string& aPath) { this->events.open(aPath); }
+  /// Writes an event that a stand-in observed or caused.
+  void WriteEvent(const char* aEvent, nlohmann::json aFields);
+  /// Records that a caller sends a request with an API key of
+  /// `aOrganisation`.
+  void OnRequestSent(const std::string& aId, RequestKind aKind,
+                     const std::string& aOrganisation, Instant aAt);
+  /// Records that an upstream starts to run the request.
+  void OnRequestRun(const std::string& aId, const std::string& aOrganisation);
+  /// Records the outcome that the caller received.
+  void OnRequestEnd(const std::string& aId, ReportedOutcome aReported);
+  /// Records that the caller's connection broke before the response was
+  /// complete.
+  void OnResponseTruncated(const std::string& aId) {
+    this->truncated.push_back(aId);
+  }
+  void ClearTruncated() { this->truncated.clear(); }
+  /// Checks that no request that ran was truncated since `ClearTruncated`;
+  /// `aCause` names, for the message, what must not truncate responses.
+  void CheckTruncated(const std::string& aCause);
+  /// Record that the crashing request has reached an upstream, and that it has
+  /// crashed one.
+  void OnCrashingRequestSent(Instant aAt) {
+    this->crashingSends.push_back(aAt);
+  }
+  void OnUpstreamCrash(Instant aAt) { this->crashes.push_back(aAt); }
+  /// Returns how often the crashing request was sent later than
+  /// `aDetectionTime` after its third crash.
+  std::size_t SendsAfterDetection(Micros aDetectionTime) const;
+  std::size_t Crashes() const { return this->crashes.size(); }
+  /// Requests with keys of that organisation must not run if they are sent
+  /// after `aNotAfter`.
+  void OnKeyRevoked(const std::string& aOrganisation, Instant aNotAfter) {
+    this->revoked[aOrganisation] = aNotAfter;
+  }
+  /// Records that an invariant was violated.
+  void AddViolation(const std::string& aWhat) {
+    this->violations.push_back(aWhat);
+  }
+  /// Checks what can only be checked at the end and returns all violations, one
+  /// line each.
+  std::vector<std::string> Close();
+
+  std::size_t Requests() const { return this->requests.size(); }
+  std::size_t CompletedRequests() const;
+  bool IsCompleted(const std::string& aId) const {
+    return this->requests.at(aId).reported == ReportedOutcome::Completed;
+  }
+
+ private:
+  struct Record {
+    RequestKind kind = RequestKind::Safe;
+    std::string organisation;
+    Instant sentAt;
+    int runs = 0;
+    ReportedOutcome reported = ReportedOutcome::Unknown;
+  };
+
+  std::ofstream events;
+  std::map<std::string, Record> requests;
+  std::vector<std::string> truncated;
+  std::map<std::string, Instant> revoked;
+  std::vector<std::string> violations;
+  std::vector<Instant> crashingSends;
+  std::vector<Instant> crashes;
+};
+
+}  // namespace zincstep::soak
--- a/SoakTests/Main.cpp
+++ b/SoakTests/Main.cpp
@@ -11,22 +11,22 @@
 
 constexpr const char* kUsage =
     "zincstep-soak: runs edge daemons as processes under random faults\n"
-    "  --daemon PATH   program of the edge daemon (needed)\n"
-    "  --logs DIR      folder for logs, one below it for each seed (needed)\n"
+    "  --daemon PATH   program of the edge daemon (required)\n"
+    "  --logs DIR      folder for logs, one subfolder per seed (required)\n"
     "  --seed N        first seed (1)\n"
-    "  --seeds N       how many seeds, one after the other (1)\n"
-    "  --seconds N     time of faults in each (10)\n"
-    "  --daemons N     daemons (4)\n"
+    "  --seeds N       number of consecutive seeds (1)\n"
+    "  --seconds N     fault injection time per seed (10)\n"
+    "  --daemons N     number of daemons (4)\n"
     "  --crashing      at the end, a request that crashes upstreams\n"
-    "  --limits        at the end, upstreams that name limits or ask for rest\n"
-    "  --late-links    links of ended upstreams accept, and reset later\n"
-    "  --quick-restarts  crashed upstreams are back at once\n"
-    "  --restores      the store comes back from copies meanwhile\n"
-    "Exit status: 0 all passed, 1 a promise was broken, 2 wrong use.\n";
+    "  --limits        at the end, upstreams set limits or Retry-After\n"
+    "  --late-links    links of exited upstreams accept, then reset later\n"
+    "  --quick-restarts  crashed upstreams restart at once\n"
+    "  --restores      the store is restored from backups meanwhile\n"
+    "Exit status: 0 all passed, 1 an invariant was violated, 2 usage error.\n";
 
 }  // namespace
 
-int main(int aCount, char** aWords) {
+int main(int aCount, char** aArguments) {
   zincstep::soak::SoakSettings settings;
   std::string logs;
   int seeds = 1;
@@ -42,9 +42,9 @@
                             {"quick-restarts", no_argument, nullptr, 'q'},
                             {"restores", no_argument, nullptr, 'r'},
                             {nullptr, 0, nullptr, 0}};
-  for (int word = 0;
-       (word = getopt_long(aCount, aWords, "", options, nullptr)) != -1;) {
-    switch (word) {
+  for (int flag = 0;
+       (flag = getopt_long(aCount, aArguments, "", options, nullptr)) != -1;) {
+    switch (flag) {
       case 'd':
         settings.daemon = optarg;
         break;
@@ -87,7 +87,8 @@
     std::fputs(kUsage, stderr);
     return 2;
   }
-  // What the soak's own connections meet is part of the faults.
+  // Warnings about the soak test's own connections result from the injected
+  // faults.
   zincstep::StartLog("zincstep-soak", "error");
   int failed = 0;
   for (int i = 0; i < seeds; ++i, ++settings.seed) {
@@ -97,12 +98,13 @@
     const auto outcome = zincstep::soak::RunSoak(settings);
     std::printf("seed %llu: %zu requests, %zu answered, %zu faults, %s\n",
                 static_cast<unsigned long long>(settings.seed),
-                outcome.requests, outcome.answers, outcome.faults.size(),
-                outcome.broken.empty() ? "passed" : "FAILED");
-    for (const std::string& line : outcome.broken) {
+                outcome.requests, outcome.completedRequests,
+                outcome.faults.size(),
+                outcome.violations.empty() ? "passed" : "FAILED");
+    for (const std::string& line : outcome.violations) {
       std::printf("  broken: %s\n", line.c_str());
     }
-    if (!outcome.broken.empty()) {
+    if (!outcome.violations.empty()) {
       failed += 1;
       for (const std::string& line : outcome.faults) {
         std::printf("  %s\n", line.c_str());
--- a/SoakTests/Soak.h
+++ b/SoakTests/Soak.h
@@ -13,17 +13,17 @@
 
 namespace zincstep::soak {
 
-/// The operators' bound on withdrawn keys, as the daemons get it.
+/// How long a revoked key may still be accepted, as set for the daemons.
 inline constexpr Micros kKeyRevocation = 5s;
-/// How long callers wait.
-inline constexpr Micros kCallerPatience = 4s;
+/// How long callers wait for a response.
+inline constexpr Micros kCallerTimeout = 4s;
 
-/// The operators' configuration: two plain routes and a split model of four
-/// layers, two of which fit an upstream.
+/// Returns the operators' configuration: two plain routes and a split model of
+/// four layers, two of which fit on one upstream.
 std::string Configuration(int aVersion, bool aHasOther);
 
-/// One run: daemons as processes, stand-ins, callers, faults and checks, all on
-/// one loop.
+/// One run: daemon processes, stand-ins, callers, faults and checks, all on one
+/// event loop.
 class Soak {
  public:
   explicit Soak(const SoakSettings& aSettings);
@@ -35,76 +35,82 @@
     std::unique_ptr<FaultProxy> storeLink;
     std::unique_ptr<DaemonProcess> process;
     TcpEndpoint address;
-    /// It is started again by whoever heals the fault.
+    /// Set while a fault keeps it down; the fault's end clears this.
     bool isDown = false;
-    /// Kinds that it has answered since the last `Served`.
-    std::array<bool, 3> answered{};
+    /// Request kinds completed since the last call of `WaitUntilServed`.
+    std::array<bool, 3> completed{};
   };
   struct Heal {
     Instant at;
-    std::function<void()> act;
+    std::function<void()> action;
   };
 
   void AddUpstream(const std::string& aService, const std::string& aDomain,
                    int aNumber);
   void AddDaemons();
   void Tick();
-  /// Sends as many requests as it is time for.
+  /// Sends all requests that are due.
   void SendDue(Instant aNow);
   void SendNext();
   std::string Send(Daemon& aDaemon, RequestKind aKind, bool aIsOther,
-                   Micros aPatience = kCallerPatience,
+                   Micros aTimeout = kCallerTimeout,
                    const char* aPath = nullptr);
-  void OnAnswer(const std::string& aId, RequestKind aKind, Daemon& aDaemon,
-                const Result<HttpResponse>& aAnswer);
+  void OnResponse(const std::string& aId, RequestKind aKind, Daemon& aDaemon,
+                  const Result<HttpResponse>& aResponse);
   void Inject();
   void InjectAtDaemon(Daemon& aDaemon);
   void InjectAtUpstream(SoakUpstream& aUpstream);
   void InjectAtStore();
-  /// All open connections to the store and to upstreams fall silent at once.
-  void SilenceOpenConnections();
-  /// Kills an upstream of the model that lives; false: none does.
-  bool LoseModelUpstream();
-  /// Streams at each daemon that have run for a moment.
+  /// Blackholes all open connections to the store and to upstreams at once.
+  void BlackholeOpenConnections();
+  /// Kills a live upstream of the model; returns false if there is none.
+  bool KillModelUpstream();
+  /// Starts streams at the first few daemons, lets them run for
+  /// `kStreamRunTime` and returns their ids.
   std::vector<std::string> StartStreams();
-  /// A daemon that is stopped cuts off nothing that an upstream has begun.
+  /// Checks that a daemon that is stopped truncates no response to a request
+  /// that an upstream has started.
   void CheckPlannedStop();
-  /// Streams that run when all connections fall silent are finished.
-  void CheckSilentStreams();
-  /// When an upstream is lost at that instant all is served again, and one that
-  /// announces its end gets no new work long after.
-  void CheckSilentLoss();
-  /// A request that crashes who runs it comes again and again, at any daemon,
-  /// also after all daemons have been killed.
+  /// Checks that streams complete although all open connections are
+  /// blackholed while they run.
+  void CheckBlackholedStreams();
+  /// Checks that service recovers when an upstream is lost as all open
+  /// connections are blackholed, and that a draining upstream gets no new work
+  /// after the notice period.
+  void CheckBlackholedLoss();
+  /// Repeats a request that crashes each upstream that runs it, at random
+  /// daemons, also after all daemons have been killed.
   void CheckCrashingRequest();
   void SendCrashing(Micros aFor);
-  /// Upstreams that name a limit get no more than that, from all daemons
-  /// together, and are used again once they name none.
+  /// Checks that upstreams that set a rate limit get no more calls than that
+  /// from all daemons together, and are used again once the limit is removed.
   void CheckLimits();
   void CheckLimitsLifted(const std::vector<SoakUpstream*>& aLimited);
-  /// Upstreams that ask for rest are left alone, and `aOther`, the one that
-  /// does not and has named a limit before, gets what they would.
-  void CheckRest(const SoakUpstream& aOther);
-  /// One upstream of each service names a limit.
-  std::vector<SoakUpstream*> NameLimits();
-  /// Kills all daemons at one instant; they start again.
+  /// Checks that upstreams that send Retry-After get no calls and that their
+  /// load moves to `aOther`, which does not send it and had a limit before.
+  void CheckRetryAfter(const SoakUpstream& aOther);
+  /// Sets a limit at one upstream of each service and returns these.
+  std::vector<SoakUpstream*> SetLimits();
+  /// Kills all daemons at once; they are restarted.
   void KillAllDaemons();
-  /// Nobody hears that a key is withdrawn, for longer than it may still run.
-  void CutAllFromStore();
-  void Note(const std::string& aFault);
-  void Later(std::function<void()> aAct);
+  /// Partitions all daemons from the store for longer than a revoked key may
+  /// still be accepted, so that none learns of the revocation.
+  void PartitionAllFromStore();
+  void RecordFault(const std::string& aFault);
+  void ScheduleHeal(std::function<void()> aAction);
   void HealAll();
-  /// Runs until every daemon has answered every kind; false: not in time.
+  /// Runs the loop until every daemon has completed a request of every kind;
+  /// returns false on timeout.
   bool WaitUntilServed();
-  static Micros DrawFrom(Random& aRandom, Micros aShortest, Micros aSpread) {
-    return aShortest + Micros{static_cast<std::int64_t>(aRandom.Below(
-                           static_cast<std::size_t>(aSpread.count())))};
+  static Micros DrawFrom(Random& aRandom, Micros aMin, Micros aSpread) {
+    return aMin + Micros{static_cast<std::int64_t>(aRandom.Below(
+                      static_cast<std::size_t>(aSpread.count())))};
   }
-  Micros Draw(Micros aShortest, Micros aSpread) {
-    return DrawFrom(this->random, aShortest, aSpread);
+  Micros Draw(Micros aMin, Micros aSpread) {
+    return DrawFrom(this->random, aMin, aSpread);
   }
-  Micros DrawSilencePause();
-  /// The store goes away for a moment and comes back from a copy.
+  Micros DrawBlackholeInterval();
+  /// Takes the store down for a moment and restores it from a backup.
   void RestoreStore();
 
   static constexpr int kPlainUpstreams = 2;
@@ -114,15 +120,15 @@
   asio::io_context loop{1};
   SystemClock clock;
   Random random;
-  /// Of its own, so that a seed's other faults stay what they were.
-  Random silenceRandom;
-  /// The same for returns of the store from a copy.
+  /// A separate generator, so that the other faults of a seed do not change.
+  Random blackholeRandom;
+  /// The same for restores of the store.
   Random restoreRandom;
-  /// The same for links that reset late and upstreams that are back at once.
+  /// The same for delayed resets and quick restarts.
   Random linkRandom;
   SoakStore store;
   SoakCaller callers;
-  Ledger ledger;
+  InvariantChecker checker;
   UpstreamsByAddress byAddress;
   std::vector<std::unique_ptr<SoakUpstream>> upstreams;
   std::vector<std::unique_ptr<Daemon>> daemons;
@@ -131,11 +137,11 @@
   Instant startedAt = this->clock.Now();
   Instant nextRequest{};
   Instant nextFault{};
-  Instant nextSilence{};
+  Instant nextBlackhole{};
   Instant nextRestore{};
-  bool injects = false;
+  bool isInjecting = false;
   int version = 1;
-  /// The other organisation's key has been withdrawn.
+  /// Whether the key of organisation `other` has been revoked.
   bool isRevoked = false;
   int lastRequest = 0;
   SoakOutcome outcome;
--- a/SoakTests/SoakCaller.cpp
+++ b/SoakTests/SoakCaller.cpp
@@ -5,12 +5,12 @@
 namespace {
 
 constexpr Micros kConnectTimeout = 1s;
-/// Callers use connections that have rested for up to four fifths of the time
-/// for which a daemon keeps them.
-constexpr double kKeptShare = 0.8;
-constexpr Micros kLongestRest = 60s;
+/// Callers reuse connections that have been idle for up to four fifths of the
+/// time for which a daemon keeps them open.
+constexpr double kMaxIdleShare = 0.8;
+constexpr Micros kMaxIdleTime = 60s;
 
-/// One request and its whole answer.
+/// One request and its buffered response.
 class Call final : public SingleCallListener,
                    public std::enable_shared_from_this<Call> {
  public:
@@ -20,31 +20,33 @@
         done(std::move(aDone)) {}
 
   void Start(const TcpEndpoint& aDaemon, std::string aRequest,
-             std::optional<PooledConnections> aKept, Micros aPatience) {
+             std::optional<PooledConnections> aPool, Micros aTimeout) {
     this->self = this->shared_from_this();
-    this->timer.expires_after(aPatience);
-    this->timer.async_wait([held = this->self](const asio::error_code& aError) {
-      if (!aError) {
-        held->call->Cancel();
-        held->Finish(Fail(ErrorKind::DeadlineDuringRun, "no answer in time"));
-      }
-    });
+    this->timer.expires_after(aTimeout);
+    this->timer.async_wait(
+        [owner = this->self](const asio::error_code& aError) {
+          if (!aError) {
+            owner->call->Cancel();
+            owner->Finish(
+                Fail(ErrorKind::DeadlineDuringRun, "no response in time"));
+          }
+        });
     this->call->Start(aDaemon, std::move(aRequest), kConnectTimeout,
-                      std::move(aKept));
+                      std::move(aPool));
   }
 
   void OnResponseHead(HttpHead aHead) override {
-    this->answer.status = aHead.status;
-    this->answer.headers = std::move(aHead.headers);
+    this->response.status = aHead.status;
+    this->response.headers = std::move(aHead.headers);
   }
 
   void OnResponseBody(std::string_view aPart) override {
-    this->answer.body.append(aPart);
+    this->response.body.append(aPart);
   }
 
   void OnCallEnd(SingleCallEnd aEnd) override {
     if (aEnd == SingleCallEnd::Complete) {
-      this->Finish(std::move(this->answer));
+      this->Finish(std::move(this->response));
     } else {
       this->Finish(Fail(aEnd == SingleCallEnd::NotConnected
                             ? ErrorKind::UpstreamUnreachable
@@ -55,9 +57,9 @@
 
  private:
   void Finish(const Result<HttpResponse>& aResult) {
-    const auto held = std::move(this->self);
+    const auto owner = std::move(this->self);
     this->timer.cancel();
-    if (held) {
+    if (owner) {
       this->done(aResult);
     }
   }
@@ -66,13 +68,13 @@
   std::shared_ptr<SingleCall> call;
   SoakCaller::Done done;
   std::shared_ptr<Call> self;
-  HttpResponse answer;
+  HttpResponse response;
 };
 
 ConnectionPoolSettings PoolSettings() {
   ConnectionPoolSettings settings;
-  settings.maxIdleTime = kLongestRest;
-  settings.keptShare = kKeptShare;
+  settings.maxIdleTime = kMaxIdleTime;
+  settings.keptShare = kMaxIdleShare;
   settings.quarantineTime = 0s;
   return settings;
 }
@@ -83,13 +85,14 @@
     : loop(aLoop), pool(PoolSettings(), aClock) {}
 
 void SoakCaller::Send(const TcpEndpoint& aDaemon, std::string aRequest,
-                      bool aKeeps, Micros aPatience, Done aDone) {
+                      bool aReusesConnection, Micros aTimeout, Done aDone) {
   const std::string name = aDaemon.address().to_string();
   std::make_shared<Call>(this->loop, std::move(aDone))
       ->Start(aDaemon, std::move(aRequest),
-              aKeeps ? std::optional(PooledConnections{&this->pool, name})
-                     : std::nullopt,
-              aPatience);
+              aReusesConnection
+                  ? std::optional(PooledConnections{&this->pool, name})
+                  : std::nullopt,
+              aTimeout);
 }
 
 }  // namespace zincstep::soak
--- a/SoakTests/SoakCaller.h
+++ b/SoakTests/SoakCaller.h
@@ -7,20 +7,21 @@
 
 namespace zincstep::soak {
 
-/// Callers that keep their connections: each request goes on one that is open,
-/// as long as the daemon keeps it, and is never sent again.
+/// Sends requests over pooled connections, which are reused as long as the
+/// daemon keeps them open. A request is never retried.
 class SoakCaller {
  public:
-  /// Fails with `UpstreamUnreachable` where nothing was sent, else with
-  /// `ResponseIncomplete`: the connection broke; `DeadlineDuringRun`: no answer
-  /// in time.
+  /// Fails with `UpstreamUnreachable` if nothing was sent, with
+  /// `ResponseIncomplete` if the connection broke, and with
+  /// `DeadlineDuringRun` if no response arrived in time.
   using Done = std::function<void(const Result<HttpResponse>&)>;
 
   SoakCaller(asio::io_context& aLoop, const Clock& aClock);
 
-  /// `aKeeps`: on a kept connection, which is kept again behind the answer.
-  void Send(const TcpEndpoint& aDaemon, std::string aRequest, bool aKeeps,
-            Micros aPatience, Done aDone);
+  /// With `aReusesConnection` the request uses a pooled connection and returns
+  /// it to the pool after the response.
+  void Send(const TcpEndpoint& aDaemon, std::string aRequest,
+            bool aReusesConnection, Micros aTimeout, Done aDone);
 
  private:
   asio::io_context& loop;
--- a/SoakTests/SoakCrashes.cpp
+++ b/SoakTests/SoakCrashes.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The check with a request that crashes each upstream that begins to run it.
+/// The check with a request that crashes each upstream that starts to run it.
 
 #include <signal.h>
 
@@ -9,13 +9,13 @@
 
 namespace {
 
-constexpr Micros kPause = 100ms;
-/// Before all daemons are killed, and after that.
-constexpr Micros kFirstTime = 6s;
-constexpr Micros kSecondTime = 5s;
-/// All daemons know by then that three upstreams have ended under it.
-constexpr Micros kKnownWithin = 3s;
-constexpr std::size_t kMostInSpite = 3;
+constexpr Micros kSendInterval = 100ms;
+/// How long the request is repeated before all daemons are killed, and after.
+constexpr Micros kTimeBeforeKill = 6s;
+constexpr Micros kTimeAfterKill = 5s;
+/// All daemons know by then that the request has crashed three upstreams.
+constexpr Micros kDetectionTime = 3s;
+constexpr std::size_t kMaxSendsAfterDetection = 3;
 
 }  // namespace
 
@@ -23,41 +23,45 @@
   const Instant end = this->clock.Now() + aFor;
   while (this->clock.Now() < end) {
     Daemon& daemon =
-        *this->daemons[this->silenceRandom.Below(this->daemons.size())];
-    this->Send(daemon, RequestKind::Stream, false, kCallerPatience,
+        *this->daemons[this->blackholeRandom.Below(this->daemons.size())];
+    this->Send(daemon, RequestKind::Stream, false, kCallerTimeout,
                kCrashingPath);
-    this->loop.run_for(kPause);
+    this->loop.run_for(kSendInterval);
   }
 }
 
 void Soak::KillAllDaemons() {
-  this->Note("all daemons are killed");
+  this->RecordFault("all daemons are killed");
   for (const auto& daemon : this->daemons) {
     daemon->process->Signal(SIGKILL);
   }
   if (!this->WaitUntilServed()) {
-    this->ledger.Broken("not all was served after all daemons were killed");
+    this->checker.AddViolation(
+        "service did not recover after all daemons were killed");
   }
 }
 
 void Soak::CheckCrashingRequest() {
-  this->Note("a request that crashes upstreams");
-  this->SendCrashing(kFirstTime);
+  this->RecordFault("a request that crashes upstreams");
+  this->SendCrashing(kTimeBeforeKill);
   if (!this->WaitUntilServed()) {
-    this->ledger.Broken("a request that crashes upstreams stops the others");
+    this->checker.AddViolation(
+        "a request that crashes upstreams blocks other requests");
   }
   this->KillAllDaemons();
-  this->SendCrashing(kSecondTime);
-  const std::size_t inSpite = this->ledger.SentInSpite(kKnownWithin);
-  if (inSpite > kMostInSpite) {
-    this->ledger.Broken(
-        "a request under which three upstreams had ended was "
+  this->SendCrashing(kTimeAfterKill);
+  const std::size_t sendsAfterDetection =
+      this->checker.SendsAfterDetection(kDetectionTime);
+  if (sendsAfterDetection > kMaxSendsAfterDetection) {
+    this->checker.AddViolation(
+        "a request that had crashed three upstreams was "
         "sent " +
-        std::to_string(inSpite) + " times more; " +
-        std::to_string(this->ledger.Crashes()) + " ended in all");
+        std::to_string(sendsAfterDetection) + " more times; " +
+        std::to_string(this->checker.Crashes()) + " crashes in total");
   }
   if (!this->WaitUntilServed()) {
-    this->ledger.Broken("not all was served beside a request that crashes");
+    this->checker.AddViolation(
+        "service did not recover after a crashing request");
   }
 }
 
--- a/SoakTests/SoakFaults.cpp
+++ b/SoakTests/SoakFaults.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The faults that a run injects, and how they heal.
+/// The faults that a run injects and their recovery.
 
 #include <signal.h>
 
@@ -11,46 +11,47 @@
 
 namespace {
 
-constexpr Micros kShortestFault = 300ms;
-constexpr Micros kFaultSpread = 2500ms;
-/// Between two instants at which open connections fall silent.
-constexpr Micros kShortestSilencePause = 2s;
-constexpr Micros kSilencePauseSpread = 4s;
-/// Longer than a withdrawn key may still run.
-constexpr Micros kLongCut = 8s;
-/// How long the store is away before it comes back from a copy, how old that
-/// is, and how long the operator and the upstreams take to write again.
-constexpr Micros kShortestAway = 200ms;
-constexpr Micros kAwaySpread = 1800ms;
-constexpr Micros kYoungestCopy = 1s;
-constexpr Micros kCopyAgeSpread = 9s;
-constexpr Micros kWrittenAgain = 1500ms;
+constexpr Micros kMinFaultTime = 300ms;
+constexpr Micros kFaultTimeSpread = 2500ms;
+/// Between two times at which open connections are blackholed.
+constexpr Micros kMinBlackholeInterval = 2s;
+constexpr Micros kBlackholeIntervalSpread = 4s;
+/// Longer than a revoked key may still be accepted.
+constexpr Micros kLongPartition = 8s;
+/// How long the store is down before a restore, how old the backup is, and how
+/// long the operator and the upstreams take at most to write their data
+/// again.
+constexpr Micros kMinOutage = 200ms;
+constexpr Micros kOutageSpread = 1800ms;
+constexpr Micros kMinBackupAge = 1s;
+constexpr Micros kBackupAgeSpread = 9s;
+constexpr Micros kMaxRewriteDelay = 1500ms;
 
 }  // namespace
 
-Micros Soak::DrawSilencePause() {
-  return DrawFrom(this->silenceRandom, kShortestSilencePause,
-                  kSilencePauseSpread);
+Micros Soak::DrawBlackholeInterval() {
+  return DrawFrom(this->blackholeRandom, kMinBlackholeInterval,
+                  kBlackholeIntervalSpread);
 }
 
-void Soak::Note(const std::string& aFault) {
-  this->ledger.Event("fault", {{"fault", aFault}});
+void Soak::RecordFault(const std::string& aFault) {
+  this->checker.WriteEvent("fault", {{"fault", aFault}});
   this->outcome.faults.push_back(
       std::to_string(ToSeconds(this->clock.Now() - this->startedAt)) + " " +
       aFault);
 }
 
-void Soak::Later(std::function<void()> aAct) {
+void Soak::ScheduleHeal(std::function<void()> aAction) {
   this->heals.push_back(
-      {this->clock.Now() + this->Draw(kShortestFault, kFaultSpread),
-       std::move(aAct)});
+      {this->clock.Now() + this->Draw(kMinFaultTime, kFaultTimeSpread),
+       std::move(aAction)});
 }
 
 void Soak::HealAll() {
   std::vector<Heal> all;
   all.swap(this->heals);
   for (const Heal& heal : all) {
-    heal.act();
+    heal.action();
   }
 }
 
@@ -71,35 +72,38 @@
 
 void Soak::InjectAtDaemon(Daemon& aDaemon) {
   const std::string name = aDaemon.address.address().to_string();
-  constexpr std::array kLinkFaults{LinkState::Silent, LinkState::OneWay,
+  constexpr std::array kLinkFaults{LinkState::Blackholed, LinkState::OneWay,
                                    LinkState::Reset};
   switch (this->random.Below(5)) {
     case 0:
-      this->Note("kill " + name);
+      this->RecordFault("kill " + name);
       aDaemon.process->Kill();
       aDaemon.isDown = true;
-      this->Later([&aDaemon] { aDaemon.isDown = false; });
+      this->ScheduleHeal([&aDaemon] { aDaemon.isDown = false; });
       break;
     case 1:
-      this->Note("stop " + name);
+      this->RecordFault("stop " + name);
       aDaemon.process->Signal(SIGTERM);
       break;
     case 2:
-      this->Note("pause " + name);
+      this->RecordFault("pause " + name);
       aDaemon.process->Signal(SIGSTOP);
-      this->Later([&aDaemon] { aDaemon.process->Signal(SIGCONT); });
+      this->ScheduleHeal([&aDaemon] { aDaemon.process->Signal(SIGCONT); });
       break;
     case 3: {
       const std::size_t pick = this->random.Below(kLinkFaults.size());
-      this->Note("store link of " + name + ", way " + std::to_string(pick));
-      aDaemon.storeLink->Set(kLinkFaults[pick]);
-      this->Later([&aDaemon] { aDaemon.storeLink->Set(LinkState::Up); });
+      this->RecordFault("store link of " + name + ", fault " +
+                        std::to_string(pick));
+      aDaemon.storeLink->SetState(kLinkFaults[pick]);
+      this->ScheduleHeal(
+          [&aDaemon] { aDaemon.storeLink->SetState(LinkState::Up); });
       break;
     }
     default:
-      this->Note("slow store link of " + name);
+      this->RecordFault("slow store link of " + name);
       aDaemon.storeLink->SetDelay(this->Draw(20ms, 300ms));
-      this->Later([&aDaemon] { aDaemon.storeLink->SetDelay(Micros{0}); });
+      this->ScheduleHeal(
+          [&aDaemon] { aDaemon.storeLink->SetDelay(Micros{0}); });
   }
 }
 
@@ -108,26 +112,26 @@
     return;
   }
   const std::size_t pick = this->random.Below(3);
-  this->Note("upstream, way " + std::to_string(pick));
+  this->RecordFault("upstream, fault " + std::to_string(pick));
   if (pick == 0) {
     aUpstream.Drain();
   } else {
     aUpstream.Kill(pick == 1);
   }
-  this->Later([&aUpstream] { aUpstream.Restart(); });
+  this->ScheduleHeal([&aUpstream] { aUpstream.Restart(); });
 }
 
-void Soak::SilenceOpenConnections() {
-  this->Note("all open connections fall silent");
+void Soak::BlackholeOpenConnections() {
+  this->RecordFault("all open connections are blackholed");
   for (const auto& daemon : this->daemons) {
-    daemon->storeLink->SilenceOpen();
+    daemon->storeLink->BlackholeOpen();
   }
   for (const auto& upstream : this->upstreams) {
-    upstream->SilenceConnections();
+    upstream->BlackholeConnections();
   }
 }
 
-bool Soak::LoseModelUpstream() {
+bool Soak::KillModelUpstream() {
   std::vector<SoakUpstream*> alive;
   for (const auto& upstream : this->upstreams) {
     if (upstream->IsOfModel() && upstream->IsAlive()) {
@@ -137,32 +141,34 @@
   if (alive.empty()) {
     return false;
   }
-  this->Note("an upstream of the model is lost");
-  alive[this->silenceRandom.Below(alive.size())]->Kill(true);
+  this->RecordFault("an upstream of the model is lost");
+  alive[this->blackholeRandom.Below(alive.size())]->Kill(true);
   return true;
 }
 
-void Soak::CutAllFromStore() {
-  this->Note("all cut from the store");
+void Soak::PartitionAllFromStore() {
+  this->RecordFault("all daemons partitioned from the store");
   for (const auto& daemon : this->daemons) {
-    daemon->storeLink->Set(LinkState::Silent);
+    daemon->storeLink->SetState(LinkState::Blackholed);
   }
-  this->heals.push_back({this->clock.Now() + kLongCut, [this] {
+  this->heals.push_back({this->clock.Now() + kLongPartition, [this] {
                            for (const auto& daemon : this->daemons) {
-                             daemon->storeLink->Set(LinkState::Up);
+                             daemon->storeLink->SetState(LinkState::Up);
                            }
                          }});
 }
 
 void Soak::RestoreStore() {
-  const Micros away = DrawFrom(this->restoreRandom, kShortestAway, kAwaySpread);
+  const Micros outage =
+      DrawFrom(this->restoreRandom, kMinOutage, kOutageSpread);
   const Micros age =
-      DrawFrom(this->restoreRandom, kYoungestCopy, kCopyAgeSpread);
-  this->Note("store away for " + std::to_string(away / 1ms) +
-             " ms, back from a copy " + std::to_string(age / 1ms) + " ms old");
+      DrawFrom(this->restoreRandom, kMinBackupAge, kBackupAgeSpread);
+  this->RecordFault("store down for " + std::to_string(outage / 1ms) +
+                    " ms, restored from a backup " + std::to_string(age / 1ms) +
+                    " ms old");
   this->store.SetDown(true);
-  this->heals.push_back({this->clock.Now() + away, [this, age] {
-                           this->store.Restore(age, kWrittenAgain,
+  this->heals.push_back({this->clock.Now() + outage, [this, age] {
+                           this->store.Restore(age, kMaxRewriteDelay,
                                                this->restoreRandom);
                            this->store.SetDown(false);
                          }});
@@ -170,25 +176,25 @@
 
 void Soak::InjectAtStore() {
   const std::size_t pick = this->random.Below(4);
-  this->Note("store, way " + std::to_string(pick));
+  this->RecordFault("store, fault " + std::to_string(pick));
   if (pick == 0) {
     this->store.SetDown(true);
-    this->Later([this] { this->store.SetDown(false); });
+    this->ScheduleHeal([this] { this->store.SetDown(false); });
   } else if (pick == 1) {
-    this->store.SetLosesAnswers(true);
-    this->Later([this] { this->store.SetLosesAnswers(false); });
+    this->store.SetDropsResponses(true);
+    this->ScheduleHeal([this] { this->store.SetDropsResponses(false); });
   } else {
     const bool revokesNow =
         !this->isRevoked && (this->version > 1 || pick == 3);
     this->isRevoked = this->isRevoked || revokesNow;
     this->version += 1;
     if (revokesNow) {
-      this->CutAllFromStore();
+      this->PartitionAllFromStore();
     }
     this->store.Put("op/config",
                     Configuration(this->version, !this->isRevoked));
     if (revokesNow) {
-      this->ledger.Revoked("other", this->clock.Now() + kKeyRevocation);
+      this->checker.OnKeyRevoked("other", this->clock.Now() + kKeyRevocation);
     }
   }
 }
--- a/SoakTests/SoakLimits.cpp
+++ b/SoakTests/SoakLimits.cpp
@@ -1,6 +1,5 @@
 /// \file
-/// The check with upstreams that name a limit of calls for all daemons
-/// together.
+/// The check with upstreams that set a rate limit for all daemons together.
 
 #include "SoakTests/Soak.h"
 
@@ -8,31 +7,31 @@
 
 namespace {
 
-/// Below what the callers' load gives an upstream that names none.
+/// Calls per second, below the load on an upstream without a limit.
 constexpr double kPlainLimit = 1;
 constexpr double kModelLimit = 0.4;
-/// All daemons know of a limit by then.
-constexpr Micros kKnownWithin = 3s;
-constexpr Micros kWatch = 8s;
+/// All daemons have received a new limit by then.
+constexpr Micros kPropagationTime = 3s;
+constexpr Micros kObservationTime = 8s;
 constexpr Micros kWindow = 4s;
 constexpr double kTolerance = 1.5;
-constexpr double kSpare = 5;
-/// All daemons know by then that an upstream names none any more.
-constexpr Micros kKnownToHaveEndedWithin = 15s;
+constexpr double kExtraCalls = 5;
+/// All daemons know by then that a limit has been removed.
+constexpr Micros kRemovalPropagationTime = 15s;
 
-/// What an upstream asks for, and the calls that each daemon may make then: the
-/// one that is turned away, and two.
-constexpr Micros kRest = 3s;
-constexpr std::size_t kCallsInRest = 3;
+/// The Retry-After of an upstream, and the calls that each daemon may make in
+/// that time: the rejected one and two more.
+constexpr Micros kRetryAfter = 3s;
+constexpr std::size_t kMaxCallsInBackoff = 3;
 
 }  // namespace
 
-std::vector<SoakUpstream*> Soak::NameLimits() {
+std::vector<SoakUpstream*> Soak::SetLimits() {
   std::vector<SoakUpstream*> limited;
   for (const bool isOfModel : {false, true}) {
     for (const auto& upstream : this->upstreams) {
-      if (upstream->IsOfModel() == isOfModel && upstream->TakesRequests()) {
-        upstream->NameLimit(isOfModel ? kModelLimit : kPlainLimit);
+      if (upstream->IsOfModel() == isOfModel && upstream->AcceptsRequests()) {
+        upstream->SetLimit(isOfModel ? kModelLimit : kPlainLimit);
         limited.push_back(upstream.get());
         break;
       }
@@ -42,78 +41,82 @@
 }
 
 void Soak::CheckLimits() {
-  this->Note("upstreams name limits");
-  const std::vector<SoakUpstream*> limited = this->NameLimits();
-  this->loop.run_for(kKnownWithin);
+  this->RecordFault("upstreams set limits");
+  const std::vector<SoakUpstream*> limited = this->SetLimits();
+  this->loop.run_for(kPropagationTime);
   const Instant since = this->clock.Now();
-  this->loop.run_for(kWatch);
+  this->loop.run_for(kObservationTime);
   for (const SoakUpstream* upstream : limited) {
     const double limit = upstream->IsOfModel() ? kModelLimit : kPlainLimit;
-    const double allowed = kTolerance * limit * ToSeconds(kWindow) + kSpare;
-    const std::size_t most = upstream->MostCalls(since, kWindow);
-    if (static_cast<double>(most) > allowed) {
-      this->ledger.Broken("an upstream that takes " + std::to_string(limit) +
-                          " calls a second got " + std::to_string(most) +
-                          " in 4 s");
+    const double allowed =
+        kTolerance * limit * ToSeconds(kWindow) + kExtraCalls;
+    const std::size_t maxCalls = upstream->MaxCalls(since, kWindow);
+    if (static_cast<double>(maxCalls) > allowed) {
+      this->checker.AddViolation(
+          "an upstream with a limit of " + std::to_string(limit) +
+          " calls per second got " + std::to_string(maxCalls) + " in 4 s");
     }
   }
   if (!this->WaitUntilServed()) {
-    this->ledger.Broken("not all was served beside upstreams with limits");
+    this->checker.AddViolation(
+        "service did not recover while upstreams had limits");
   }
   this->CheckLimitsLifted(limited);
 }
 
 void Soak::CheckLimitsLifted(const std::vector<SoakUpstream*>& aLimited) {
-  this->Note("upstreams name no limits any more");
+  this->RecordFault("upstreams remove their limits");
   for (SoakUpstream* upstream : aLimited) {
-    upstream->NameLimit(std::nullopt);
+    upstream->SetLimit(std::nullopt);
   }
-  this->loop.run_for(kKnownToHaveEndedWithin);
+  this->loop.run_for(kRemovalPropagationTime);
   const auto plain =
       std::find_if(aLimited.begin(), aLimited.end(),
                    [](const SoakUpstream* aOne) { return !aOne->IsOfModel(); });
   if (plain != aLimited.end()) {
-    this->CheckRest(**plain);
+    this->CheckRetryAfter(**plain);
   }
 }
 
-void Soak::CheckRest(const SoakUpstream& aOther) {
-  this->Note("all plain upstreams but one ask for rest");
-  std::vector<SoakUpstream*> tired;
+void Soak::CheckRetryAfter(const SoakUpstream& aOther) {
+  this->RecordFault("all plain upstreams but one send Retry-After");
+  std::vector<SoakUpstream*> backingOff;
   for (const auto& upstream : this->upstreams) {
     if (!upstream->IsOfModel() && upstream.get() != &aOther &&
-        upstream->TakesRequests()) {
-      tired.push_back(upstream.get());
+        upstream->AcceptsRequests()) {
+      backingOff.push_back(upstream.get());
     }
   }
-  if (tired.empty()) {
-    this->ledger.Broken("fewer than two plain upstreams live");
+  if (backingOff.empty()) {
+    this->checker.AddViolation("fewer than two plain upstreams are alive");
     return;
   }
   std::vector<std::size_t> before;
-  for (SoakUpstream* upstream : tired) {
+  for (SoakUpstream* upstream : backingOff) {
     before.push_back(upstream->Calls());
-    upstream->AskForRest(kRest);
+    upstream->SetRetryAfter(kRetryAfter);
   }
   const std::size_t otherBefore = aOther.Calls();
-  this->loop.run_for(kRest);
-  const std::size_t allowed = kCallsInRest * this->daemons.size();
-  for (std::size_t i = 0; i < tired.size(); ++i) {
-    const std::size_t got = tired[i]->Calls() - before[i];
-    if (got > allowed) {
-      this->ledger.Broken("an upstream that asked for rest got " +
-                          std::to_string(got) + " calls, allowed " +
-                          std::to_string(allowed));
+  this->loop.run_for(kRetryAfter);
+  const std::size_t allowed = kMaxCallsInBackoff * this->daemons.size();
+  for (std::size_t i = 0; i < backingOff.size(); ++i) {
+    const std::size_t received = backingOff[i]->Calls() - before[i];
+    if (received > allowed) {
+      this->checker.AddViolation("an upstream that sent Retry-After got " +
+                                 std::to_string(received) + " calls, allowed " +
+                                 std::to_string(allowed));
     }
-    tired[i]->AskForRest(std::nullopt);
+    backingOff[i]->SetRetryAfter(std::nullopt);
   }
-  const double mostWithLimit =
-      kTolerance * kPlainLimit * ToSeconds(kRest) + kSpare;
-  if (static_cast<double>(aOther.Calls() - otherBefore) <= mostWithLimit) {
-    this->ledger.Broken("an upstream without a limit any more is not used");
+  const double maxCallsWithLimit =
+      kTolerance * kPlainLimit * ToSeconds(kRetryAfter) + kExtraCalls;
+  if (static_cast<double>(aOther.Calls() - otherBefore) <= maxCallsWithLimit) {
+    this->checker.AddViolation(
+        "an upstream is not used after its limit was removed");
   }
   if (!this->WaitUntilServed()) {
-    this->ledger.Broken("not all was served beside upstreams at rest");
+    this->checker.AddViolation(
+        "service did not recover while upstreams sent Retry-After");
   }
 }
 
--- a/SoakTests/SoakRun.cpp
+++ b/SoakTests/SoakRun.cpp
@@ -6,49 +6,49 @@
 
 namespace {
 
-constexpr Micros kTick = 10ms;
-/// Between requests of all callers together, for up to so many daemons; with
-/// more of them it is shorter, and this at the least, which the upstreams bear.
-constexpr Micros kRequestPause = 25ms;
-constexpr int kFewDaemons = 4;
-constexpr Micros kShortestRequestPause = 5ms;
-constexpr Micros kShortestFaultPause = 200ms;
-constexpr Micros kFaultPauseSpread = 500ms;
-/// Longest time until all is served at the start, and again after the last
-/// fault; generous, as the machine may be busy.
-constexpr Micros kRecovery = 25s;
-/// How long callers wait where a stream has to be finished; generous, as above.
-constexpr Micros kLongPatience = 15s;
+constexpr Micros kTickInterval = 10ms;
+/// Between requests of all callers together, for up to `kBaselineDaemons`. With
+/// more daemons it shrinks to a minimum that the upstreams can sustain.
+constexpr Micros kRequestInterval = 25ms;
+constexpr int kBaselineDaemons = 4;
+constexpr Micros kMinRequestInterval = 5ms;
+constexpr Micros kMinFaultInterval = 200ms;
+constexpr Micros kFaultIntervalSpread = 500ms;
+/// Timeout for full service at the start and after the last fault; generous,
+/// as the machine may be busy.
+constexpr Micros kRecoveryTimeout = 25s;
+/// Caller timeout where a stream must complete; generous, as above.
+constexpr Micros kLongCallerTimeout = 15s;
 /// Streams that each of the first few daemons has open when its connections
-/// fall silent, and the time that they have run by then.
-constexpr int kStreamsAtOnce = 3;
-constexpr Micros kStreamsRun = 80ms;
-/// Retries that all daemons may save up, for each of them, and the fewest
-/// daemons that are counted: the users' sites give 200 for eight. A hundred
-/// daemons with 200 let two of twelve streams on silent connections wait for
-/// more.
-constexpr int kRetrySlack = 25;
-constexpr int kSlackDaemons = 8;
-/// A daemon ends within its grace (3 s); generous, as above.
-constexpr Micros kLongestStop = 12s;
-/// Lists of upstreams are known to all daemons by then: three proofs.
-constexpr Micros kSettled = 2100ms;
-/// An upstream that leaves gets no new work after "a few seconds".
-constexpr Micros kDrainNotice = 4s;
-/// For so long its requests are looked at from then on.
-constexpr Micros kDrainWatch = 2s;
-/// How late a link that accepts resets connections to an ended upstream.
-constexpr Micros kShortestReset = 20ms;
-constexpr Micros kResetSpread = 180ms;
-/// How soon an upstream is back that is restarted at once.
-constexpr Micros kShortestRestart = 20ms;
-constexpr Micros kRestartSpread = 180ms;
-/// Between two returns of the store from a copy.
-constexpr Micros kShortestRestore = 2s;
-constexpr Micros kRestoreSpread = 5s;
+/// are blackholed, and how long they have run by then.
+constexpr int kStreamsPerDaemon = 3;
+constexpr Micros kStreamRunTime = 80ms;
+/// Retry budget of all daemons together, per daemon, and the minimum number of
+/// daemons counted: the users' sites set 200 for eight. With 200 for a hundred
+/// daemons, two of twelve streams on blackholed connections had to wait for
+/// budget.
+constexpr int kRetrySlackPerDaemon = 25;
+constexpr int kMinSlackDaemons = 8;
+/// A daemon exits within its grace period (3 s); generous, as above.
+constexpr Micros kStopTimeout = 12s;
+/// All daemons have the current upstream lists by then: three validations.
+constexpr Micros kSettleTime = 2100ms;
+/// A draining upstream gets no new work after "a few seconds".
+constexpr Micros kDrainNoticeTime = 4s;
+/// How long its requests are checked from then on.
+constexpr Micros kDrainObservationTime = 2s;
+/// Delay after which a late link resets connections to an exited upstream.
+constexpr Micros kMinResetDelay = 20ms;
+constexpr Micros kResetDelaySpread = 180ms;
+/// Delay of a quick restart.
+constexpr Micros kMinRestartDelay = 20ms;
+constexpr Micros kRestartDelaySpread = 180ms;
+/// Between two restores of the store.
+constexpr Micros kMinRestoreInterval = 2s;
+constexpr Micros kRestoreIntervalSpread = 5s;
 constexpr int kOk = 200;
-/// The daemons' addresses are 127.0.0.10 and on, so that all use the same
-/// ports, as on the platform.
+/// The daemons' addresses start at 127.0.0.10, so that all use the same ports,
+/// as on the platform.
 constexpr int kFirstAddress = 10;
 
 std::uint16_t FreePort(asio::io_context& aLoop) {
@@ -80,13 +80,13 @@
 Soak::Soak(const SoakSettings& aSettings)
     : settings(aSettings),
       random(aSettings.seed),
-      silenceRandom(Hash64("silence", aSettings.seed)),
+      blackholeRandom(Hash64("silence", aSettings.seed)),
       restoreRandom(Hash64("restore", aSettings.seed)),
       linkRandom(Hash64("link", aSettings.seed)),
       store(this->loop, this->clock),
       callers(this->loop, this->clock),
       timer(this->loop) {
-  this->ledger.WriteEventsTo(aSettings.logs + "/soak.log");
+  this->checker.OpenEventLog(aSettings.logs + "/soak.log");
   this->store.Put("op/config", Configuration(this->version, true));
   for (const char* domain : {"a", "b"}) {
     for (int i = 0; i < kPlainUpstreams; ++i) {
@@ -102,15 +102,15 @@
 void Soak::AddUpstream(const std::string& aService, const std::string& aDomain,
                        int aNumber) {
   this->upstreams.push_back(std::make_unique<SoakUpstream>(
-      this->loop, this->clock, this->store, this->ledger, this->byAddress,
+      this->loop, this->clock, this->store, this->checker, this->byAddress,
       aService + "-" + aDomain + std::to_string(aNumber), aService, aDomain));
   if (this->settings.hasLateLinks) {
     this->upstreams.back()->SetResetDelay(
-        DrawFrom(this->linkRandom, kShortestReset, kResetSpread));
+        DrawFrom(this->linkRandom, kMinResetDelay, kResetDelaySpread));
   }
   if (this->settings.hasQuickRestarts) {
-    this->upstreams.back()->SetTimeToReturn(
-        DrawFrom(this->linkRandom, kShortestRestart, kRestartSpread));
+    this->upstreams.back()->SetRestartDelay(
+        DrawFrom(this->linkRandom, kMinRestartDelay, kRestartDelaySpread));
   }
 }
 
@@ -139,8 +139,9 @@
             {"ZINCSTEP_KEY_REVOCATION_MS",
              std::to_string(kKeyRevocation / 1ms)},
             {"ZINCSTEP_RETRY_SLACK",
-             std::to_string(kRetrySlack *
-                            std::max(kSlackDaemons, this->settings.daemons))},
+             std::to_string(
+                 kRetrySlackPerDaemon *
+                 std::max(kMinSlackDaemons, this->settings.daemons))},
             {"ZINCSTEP_STOP_GRACE_S", "3"}});
     this->daemons.push_back(std::move(daemon));
   }
@@ -149,53 +150,55 @@
 SoakOutcome Soak::Run() {
   for (const auto& daemon : this->daemons) {
     if (!daemon->process->Start()) {
-      this->ledger.Broken("a daemon could not be started");
+      this->checker.AddViolation("a daemon could not be started");
     }
   }
   this->Tick();
   if (!this->WaitUntilServed()) {
-    this->ledger.Broken("not all was served before the first fault");
+    this->checker.AddViolation(
+        "full service was not reached before the first fault");
   }
-  this->injects = true;
-  this->nextSilence = this->clock.Now() + this->DrawSilencePause();
-  this->nextRestore = this->clock.Now() + kShortestRestore;
+  this->isInjecting = true;
+  this->nextBlackhole = this->clock.Now() + this->DrawBlackholeInterval();
+  this->nextRestore = this->clock.Now() + kMinRestoreInterval;
   this->loop.run_for(this->settings.faults);
-  this->injects = false;
+  this->isInjecting = false;
   this->HealAll();
   if (!this->WaitUntilServed()) {
-    this->ledger.Broken("not all was served again after the last fault");
+    this->checker.AddViolation("service did not recover after the last fault");
   }
-  // What has just healed is known to all daemons first: a stream that meets
-  // other faults besides may use up its attempts.
-  this->loop.run_for(kSettled);
+  // Lets all daemons learn of the recoveries first: a stream that meets further
+  // faults may use up its attempts.
+  this->loop.run_for(kSettleTime);
   this->CheckPlannedStop();
-  this->CheckSilentStreams();
-  this->CheckSilentLoss();
+  this->CheckBlackholedStreams();
+  this->CheckBlackholedLoss();
   if (this->settings.hasCrashingRequest) {
     this->CheckCrashingRequest();
   }
   if (this->settings.hasLimits) {
     this->CheckLimits();
   }
-  // Whoever was refused must not run later either.
-  this->loop.run_for(kCallerPatience);
-  this->outcome.broken = this->ledger.Close();
-  this->outcome.requests = this->ledger.Requests();
-  this->outcome.answers = this->ledger.Answers();
+  // Rejected requests must not run later either.
+  this->loop.run_for(kCallerTimeout);
+  this->outcome.violations = this->checker.Close();
+  this->outcome.requests = this->checker.Requests();
+  this->outcome.completedRequests = this->checker.CompletedRequests();
   return std::move(this->outcome);
 }
 
 bool Soak::WaitUntilServed() {
   for (const auto& daemon : this->daemons) {
-    daemon->answered.fill(false);
+    daemon->completed.fill(false);
   }
-  const Instant end = this->clock.Now() + kRecovery;
+  const Instant end = this->clock.Now() + kRecoveryTimeout;
   while (this->clock.Now() < end) {
     this->loop.run_for(100ms);
     const bool isServed = std::all_of(
         this->daemons.begin(), this->daemons.end(), [](const auto& aDaemon) {
-          return std::all_of(aDaemon->answered.begin(), aDaemon->answered.end(),
-                             [](bool aAnswered) { return aAnswered; });
+          return std::all_of(aDaemon->completed.begin(),
+                             aDaemon->completed.end(),
+                             [](bool aIsCompleted) { return aIsCompleted; });
         });
     if (isServed) {
       return true;
@@ -219,7 +222,7 @@
     return isDue;
   });
   for (const Heal& heal : due) {
-    heal.act();
+    heal.action();
   }
   for (const auto& daemon : this->daemons) {
     if (!daemon->isDown && !daemon->process->IsRunning()) {
@@ -227,20 +230,21 @@
     }
   }
   this->SendDue(now);
-  if (this->injects && now >= this->nextFault) {
-    this->nextFault = now + this->Draw(kShortestFaultPause, kFaultPauseSpread);
+  if (this->isInjecting && now >= this->nextFault) {
+    this->nextFault = now + this->Draw(kMinFaultInterval, kFaultIntervalSpread);
     this->Inject();
   }
-  if (this->injects && this->settings.hasRestores && now >= this->nextRestore) {
-    this->nextRestore =
-        now + DrawFrom(this->restoreRandom, kShortestRestore, kRestoreSpread);
+  if (this->isInjecting && this->settings.hasRestores &&
+      now >= this->nextRestore) {
+    this->nextRestore = now + DrawFrom(this->restoreRandom, kMinRestoreInterval,
+                                       kRestoreIntervalSpread);
     this->RestoreStore();
   }
-  if (this->injects && now >= this->nextSilence) {
-    this->nextSilence = now + this->DrawSilencePause();
-    this->SilenceOpenConnections();
+  if (this->isInjecting && now >= this->nextBlackhole) {
+    this->nextBlackhole = now + this->DrawBlackholeInterval();
+    this->BlackholeOpenConnections();
   }
-  this->timer.expires_after(kTick);
+  this->timer.expires_after(kTickInterval);
   this->timer.async_wait([this](const asio::error_code& aError) {
     if (!aError) {
       this->Tick();
@@ -249,66 +253,71 @@
 }
 
 void Soak::SendDue(Instant aNow) {
-  const Micros pause = std::max(
-      kShortestRequestPause, kRequestPause * kFewDaemons /
-                                 std::max(kFewDaemons, this->settings.daemons));
+  const Micros interval =
+      std::max(kMinRequestInterval,
+               kRequestInterval * kBaselineDaemons /
+                   std::max(kBaselineDaemons, this->settings.daemons));
   if (aNow < this->nextRequest) {
     return;
   }
-  // A tick that came late is not made up for.
-  this->nextRequest = std::max(this->nextRequest, aNow - kTick);
+  // Requests missed by a late tick are not made up for.
+  this->nextRequest = std::max(this->nextRequest, aNow - kTickInterval);
   while (aNow >= this->nextRequest) {
-    this->nextRequest += pause;
+    this->nextRequest += interval;
     this->SendNext();
   }
 }
 
 void Soak::SendNext() {
-  constexpr int kOtherShare = 5;
+  constexpr int kRequestsPerOther = 5;
   const std::size_t pick = this->random.Below(this->daemons.size());
   const auto kind = static_cast<RequestKind>(this->random.Below(3));
-  this->Send(*this->daemons[pick], kind, this->random.Below(kOtherShare) == 0);
+  this->Send(*this->daemons[pick], kind,
+             this->random.Below(kRequestsPerOther) == 0);
 }
 
 std::string Soak::Send(Daemon& aDaemon, RequestKind aKind, bool aIsOther,
-                       Micros aPatience, const char* aPath) {
+                       Micros aTimeout, const char* aPath) {
   constexpr std::array kPaths{"/safe/x", "/unsafe/x", "/llm/x"};
   const std::string path =
       aPath != nullptr ? aPath : kPaths[static_cast<std::size_t>(aKind)];
   this->lastRequest += 1;
   const std::string id = "r" + std::to_string(this->lastRequest);
-  // Half of the callers keep their connections until the process is gone.
-  const bool keeps = this->lastRequest % 2 == 0;
-  this->ledger.Sent(id, aKind, aIsOther ? "other" : "acme", this->clock.Now());
+  // Half of the requests use connections that stay open until the process
+  // exits.
+  const bool reusesConnection = this->lastRequest % 2 == 0;
+  this->checker.OnRequestSent(id, aKind, aIsOther ? "other" : "acme",
+                              this->clock.Now());
   const std::string text =
       "POST " + path + " HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: " + id +
-      "\r\nX-Deadline-Ms: " + std::to_string(aPatience / 1ms) +
+      "\r\nX-Deadline-Ms: " + std::to_string(aTimeout / 1ms) +
       "\r\nAuthorization: Bearer " + (aIsOther ? "key2" : "key1") +
-      "\r\nX-Token-Usage: 10,60\r\n" + (keeps ? "" : "Connection: close\r\n") +
+      "\r\nX-Token-Usage: 10,60\r\n" +
+      (reusesConnection ? "" : "Connection: close\r\n") +
       "Content-Length: 2\r\n\r\n{}";
   this->callers.Send(
-      aDaemon.address, text, keeps, aPatience,
-      [this, id, aKind, &aDaemon](const Result<HttpResponse>& aAnswer) {
-        this->OnAnswer(id, aKind, aDaemon, aAnswer);
+      aDaemon.address, text, reusesConnection, aTimeout,
+      [this, id, aKind, &aDaemon](const Result<HttpResponse>& aResponse) {
+        this->OnResponse(id, aKind, aDaemon, aResponse);
       });
   return id;
 }
 
-void Soak::OnAnswer(const std::string& aId, RequestKind aKind, Daemon& aDaemon,
-                    const Result<HttpResponse>& aAnswer) {
+void Soak::OnResponse(const std::string& aId, RequestKind aKind,
+                      Daemon& aDaemon, const Result<HttpResponse>& aResponse) {
   constexpr std::array kNotRun{408, 421, 429, 503};
-  if (!aAnswer) {
-    if (aAnswer.error().kind == ErrorKind::ResponseIncomplete) {
-      this->ledger.Cut(aId);
+  if (!aResponse) {
+    if (aResponse.error().kind == ErrorKind::ResponseIncomplete) {
+      this->checker.OnResponseTruncated(aId);
     }
-    return;  // Broken off or late: nothing was promised.
+    return;  // Truncated or late: the outcome is unknown.
   }
-  if (std::find(kNotRun.begin(), kNotRun.end(), aAnswer->status) !=
+  if (std::find(kNotRun.begin(), kNotRun.end(), aResponse->status) !=
       kNotRun.end()) {
-    this->ledger.Ended(aId, Told::NotRun);
+    this->checker.OnRequestEnd(aId, ReportedOutcome::NotRun);
     return;
   }
-  if (aAnswer->status != kOk) {
+  if (aResponse->status != kOk) {
     return;
   }
   std::string expected = BodyFor(aId);
@@ -318,89 +327,91 @@
       expected += EventFor(aId, event);
     }
   }
-  if (aAnswer->body != expected ||
-      FindHeader(aAnswer->headers, "X-Response-Seal") != "seal-" + aId) {
-    this->ledger.Broken("request " + aId +
-                        " got a success that is not its own");
+  if (aResponse->body != expected ||
+      FindHeader(aResponse->headers, "X-Response-Seal") != "seal-" + aId) {
+    this->checker.AddViolation("request " + aId +
+                               " got a response that does not match it");
   }
-  this->ledger.Ended(aId, Told::Answered);
-  aDaemon.answered[static_cast<std::size_t>(aKind)] = true;
+  this->checker.OnRequestEnd(aId, ReportedOutcome::Completed);
+  aDaemon.completed[static_cast<std::size_t>(aKind)] = true;
 }
 
 std::vector<std::string> Soak::StartStreams() {
   std::vector<std::string> streams;
-  for (int i = 0; i < kFewDaemons * kStreamsAtOnce; ++i) {
+  for (int i = 0; i < kBaselineDaemons * kStreamsPerDaemon; ++i) {
     Daemon& daemon = *this->daemons[static_cast<std::size_t>(
-        i % std::min(kFewDaemons, this->settings.daemons))];
+        i % std::min(kBaselineDaemons, this->settings.daemons))];
     streams.push_back(
-        this->Send(daemon, RequestKind::Stream, false, kLongPatience));
+        this->Send(daemon, RequestKind::Stream, false, kLongCallerTimeout));
   }
-  this->loop.run_for(kStreamsRun);
+  this->loop.run_for(kStreamRunTime);
   return streams;
 }
 
 void Soak::CheckPlannedStop() {
-  this->ledger.ForgetCuts();
+  this->checker.ClearTruncated();
   this->StartStreams();
   Daemon& daemon =
-      *this->daemons[this->silenceRandom.Below(this->daemons.size())];
-  this->Note("planned stop of " + daemon.address.address().to_string());
+      *this->daemons[this->blackholeRandom.Below(this->daemons.size())];
+  this->RecordFault("planned stop of " + daemon.address.address().to_string());
   daemon.isDown = true;
   daemon.process->Signal(SIGTERM);
-  const Instant end = this->clock.Now() + kLongestStop;
+  const Instant end = this->clock.Now() + kStopTimeout;
   while (daemon.process->IsRunning() && this->clock.Now() < end) {
     this->loop.run_for(100ms);
   }
   if (daemon.process->IsRunning()) {
-    this->ledger.Broken("a stopped daemon has not ended");
+    this->checker.AddViolation("a stopped daemon has not exited");
   }
-  this->ledger.CheckCuts("by a planned stop");
+  this->checker.CheckTruncated("by a planned stop");
   daemon.isDown = false;
   if (!this->WaitUntilServed()) {
-    this->ledger.Broken("not all was served after a planned stop");
+    this->checker.AddViolation("service did not recover after a planned stop");
   }
 }
 
-void Soak::CheckSilentStreams() {
+void Soak::CheckBlackholedStreams() {
   const std::vector<std::string> streams = this->StartStreams();
-  this->SilenceOpenConnections();
+  this->BlackholeOpenConnections();
   const auto isOpen = [this](const std::string& aId) {
-    return !this->ledger.IsAnswered(aId);
+    return !this->checker.IsCompleted(aId);
   };
-  const Instant end = this->clock.Now() + kLongPatience;
+  const Instant end = this->clock.Now() + kLongCallerTimeout;
   while (std::any_of(streams.begin(), streams.end(), isOpen) &&
          this->clock.Now() < end) {
     this->loop.run_for(100ms);
   }
   for (const std::string& id : streams) {
     if (isOpen(id)) {
-      this->ledger.Broken("stream " + id +
-                          " was not finished after connections fell silent");
+      this->checker.AddViolation(
+          "stream " + id +
+          " did not complete after connections were blackholed");
     }
   }
 }
 
-void Soak::CheckSilentLoss() {
-  this->SilenceOpenConnections();
-  if (!this->LoseModelUpstream()) {
-    this->ledger.Broken("no upstream of the model lives");
+void Soak::CheckBlackholedLoss() {
+  this->BlackholeOpenConnections();
+  if (!this->KillModelUpstream()) {
+    this->checker.AddViolation("no upstream of the model is alive");
     return;
   }
-  const auto leaving = std::find_if(
+  const auto draining = std::find_if(
       this->upstreams.begin(), this->upstreams.end(),
       [](const auto& aOne) { return aOne->IsOfModel() && aOne->IsAlive(); });
-  if (leaving == this->upstreams.end()) {
-    this->ledger.Broken("only one upstream of the model lived");
+  if (draining == this->upstreams.end()) {
+    this->checker.AddViolation("only one upstream of the model was alive");
     return;
   }
-  this->Note("an upstream of the model leaves");
-  (*leaving)->Drain();
-  this->loop.run_for(kDrainNotice);
-  (*leaving)->EndDrainNotice();
-  this->loop.run_for(kDrainWatch);
-  (*leaving)->Restart();
+  this->RecordFault("an upstream of the model drains");
+  (*draining)->Drain();
+  this->loop.run_for(kDrainNoticeTime);
+  (*draining)->EndDrainNotice();
+  this->loop.run_for(kDrainObservationTime);
+  (*draining)->Restart();
   if (!this->WaitUntilServed()) {
-    this->ledger.Broken("not all was served after connections fell silent");
+    this->checker.AddViolation(
+        "service did not recover after connections were blackholed");
   }
 }
 
--- a/SoakTests/SoakRun.h
+++ b/SoakTests/SoakRun.h
@@ -17,33 +17,33 @@
   /// How long faults are injected.
   Micros faults = 10s;
   int daemons = 4;
-  /// Whether a request that crashes upstreams comes at the end.
+  /// Whether a request that crashes upstreams is sent at the end.
   bool hasCrashingRequest = false;
-  /// Whether upstreams name limits of calls at the end.
+  /// Whether upstreams set rate limits at the end.
   bool hasLimits = false;
-  /// Whether links of upstreams that have ended accept connections, and reset
-  /// them only some time later.
+  /// Whether links of exited upstreams accept connections and reset them
+  /// only after a delay.
   bool hasLateLinks = false;
-  /// Whether upstreams that a request has crashed are back within a fraction of
+  /// Whether upstreams that a request has crashed restart within a fraction of
   /// a second.
   bool hasQuickRestarts = false;
-  /// Whether the store comes back from copies meanwhile.
+  /// Whether the store is restored from backups during the run.
   bool hasRestores = false;
 };
 
-/// What a run has shown.
+/// Result of one run.
 struct SoakOutcome {
   std::size_t requests = 0;
-  std::size_t answers = 0;
-  /// What was done, in order, with the time in seconds.
+  std::size_t completedRequests = 0;
+  /// Injected faults in order, each with its time in seconds since the start.
   std::vector<std::string> faults;
-  /// Promises that were broken; empty: the run has passed.
-  std::vector<std::string> broken;
+  /// Violated invariants; empty if the run passed.
+  std::vector<std::string> violations;
 };
 
-/// Runs daemons as processes beside stand-ins of the store and the
-/// upstreams, injects faults drawn from the seed, and checks what callers
-/// and upstreams see.
+/// Runs daemon processes against stand-ins of the store and the upstreams,
+/// injects faults drawn from the seed, and checks what callers and upstreams
+/// observe.
 SoakOutcome RunSoak(const SoakSettings& aSettings);
 
 }  // namespace zincstep::soak
--- a/SoakTests/SoakStore.cpp
+++ b/SoakTests/SoakStore.cpp
@@ -13,9 +13,9 @@
 constexpr int kGone = 410;
 constexpr int kConditionFailed = 412;
 constexpr int kUnavailable = 503;
-/// Between copies, and how many are kept.
-constexpr Micros kCopyPause = 500ms;
-constexpr std::size_t kMostCopies = 24;
+/// Between backups, and how many are retained.
+constexpr Micros kBackupInterval = 500ms;
+constexpr std::size_t kMaxBackups = 24;
 
 std::string Unescape(const std::string& aText) {
   std::string text;
@@ -30,7 +30,7 @@
   return text;
 }
 
-std::uint64_t NumberOf(const std::string& aText) {
+std::uint64_t ParseNumber(const std::string& aText) {
   return aText.empty() ? 0 : std::stoull(aText);
 }
 
@@ -56,10 +56,10 @@
     return;
   }
   const std::string& target = aMessage.head.target;
-  const std::size_t mark = target.find('?');
-  const std::string path = target.substr(0, mark);
+  const std::size_t separator = target.find('?');
+  const std::string path = target.substr(0, separator);
   const std::string query =
-      mark == std::string::npos ? "" : target.substr(mark + 1);
+      separator == std::string::npos ? "" : target.substr(separator + 1);
   const Json body = Json::parse(aMessage.body, nullptr, false);
   if (path == "/kv-range") {
     this->Range(*aConnection, query);
@@ -68,11 +68,12 @@
   } else if (path == "/kv-txn") {
     this->Commit(*aConnection, body);
   } else if (path == "/kv-lease") {
-    this->Grant(*aConnection, body);
+    this->GrantLease(*aConnection, body);
   } else if (path.starts_with("/kv-keep/")) {
-    this->Keep(*aConnection, NumberOf(path.substr(path.rfind('/') + 1)));
+    this->RenewLease(*aConnection,
+                     ParseNumber(path.substr(path.rfind('/') + 1)));
   } else if (path.starts_with("/kv-lease-end/")) {
-    this->EndLease(NumberOf(path.substr(path.rfind('/') + 1)));
+    this->EndLease(ParseNumber(path.substr(path.rfind('/') + 1)));
     this->Reply(*aConnection, kOk, Json::object());
   } else {
     this->Reply(*aConnection, kNotFound, Json::object());
@@ -80,13 +81,13 @@
 }
 
 void SoakStore::OnCallerDisconnected(CallerConnection& aConnection) {
-  std::erase_if(this->waits, [&](const Wait& aWait) {
-    return aWait.connection.get() == &aConnection;
+  std::erase_if(this->pendingWatches, [&](const PendingWatch& aWatch) {
+    return aWatch.connection.get() == &aConnection;
   });
 }
 
-SoakStore::Json SoakStore::Show(const std::string& aKey,
-                                const Item& aItem) const {
+SoakStore::Json SoakStore::EncodeItem(const std::string& aKey,
+                                      const Item& aItem) const {
   return {{"privateKey", aKey},
           {"value", platform::EncodeBase64(aItem.value)},
           {"revision", aItem.revision},
@@ -96,37 +97,37 @@
 void SoakStore::Range(CallerConnection& aConnection,
                       const std::string& aQuery) {
   const std::string prefix = Unescape(QueryValue(aQuery, "pathPrefix"));
-  Json shown = Json::array();
+  Json encoded = Json::array();
   for (const auto& [key, item] : this->items) {
     if (key.starts_with(prefix)) {
-      shown.push_back(this->Show(key, item));
+      encoded.push_back(this->EncodeItem(key, item));
     }
   }
   this->Reply(aConnection, kOk,
-              {{"items", shown}, {"more", false}, {"at", this->revision}});
+              {{"items", encoded}, {"more", false}, {"at", this->revision}});
 }
 
 void SoakStore::Watch(const std::shared_ptr<CallerConnection>& aConnection,
                       const std::string& aQuery) {
-  Wait wait{aConnection, Unescape(QueryValue(aQuery, "pathPrefix")),
-            NumberOf(QueryValue(aQuery, "after")),
-            this->clock.Now() +
-                Micros{1000 * static_cast<std::int64_t>(
-                                  NumberOf(QueryValue(aQuery, "waitMs")))}};
-  if (wait.after < this->historyFrom || wait.after > this->revision) {
+  PendingWatch watch{
+      aConnection, Unescape(QueryValue(aQuery, "pathPrefix")),
+      ParseNumber(QueryValue(aQuery, "after")),
+      this->clock.Now() + Micros{1000 * static_cast<std::int64_t>(ParseNumber(
+                                            QueryValue(aQuery, "waitMs")))}};
+  if (watch.after < this->historyFrom || watch.after > this->revision) {
     this->Reply(*aConnection, kGone, Json::object());
     return;
   }
-  if (!this->Notify(wait, false)) {
-    this->waits.push_back(std::move(wait));
+  if (!this->Notify(watch, false)) {
+    this->pendingWatches.push_back(std::move(watch));
   }
 }
 
-bool SoakStore::Notify(const Wait& aWait, bool aIsOver) {
+bool SoakStore::Notify(const PendingWatch& aWatch, bool aHasExpired) {
   Json events = Json::array();
   for (const Change& change : this->history) {
-    if (change.revision <= aWait.after ||
-        !change.key.starts_with(aWait.prefix)) {
+    if (change.revision <= aWatch.after ||
+        !change.key.starts_with(aWatch.prefix)) {
       continue;
     }
     Json event{{"privateKey", change.key}, {"revision", change.revision}};
@@ -137,43 +138,43 @@
     }
     events.push_back(std::move(event));
   }
-  if (aWait.connection->IsClosed()) {
+  if (aWatch.connection->IsClosed()) {
     return true;
   }
-  if (events.empty() && !aIsOver) {
+  if (events.empty() && !aHasExpired) {
     return false;
   }
-  this->Reply(*aWait.connection, kOk,
+  this->Reply(*aWatch.connection, kOk,
               {{"events", events}, {"at", this->revision}});
   return true;
 }
 
 void SoakStore::NotifyAll() {
   const Instant now = this->clock.Now();
-  std::vector<Wait> all;
-  all.swap(this->waits);
-  for (Wait& wait : all) {
-    if (!this->Notify(wait, now >= wait.until)) {
-      this->waits.push_back(std::move(wait));
+  std::vector<PendingWatch> all;
+  all.swap(this->pendingWatches);
+  for (PendingWatch& watch : all) {
+    if (!this->Notify(watch, now >= watch.expiresAt)) {
+      this->pendingWatches.push_back(std::move(watch));
     }
   }
 }
 
 void SoakStore::Commit(CallerConnection& aConnection, const Json& aBody) {
-  bool holds = true;
-  Json present = Json::array();
+  bool isMatch = true;
+  Json current = Json::array();
   for (const Json& one : aBody.at("expectedRevision")) {
     const std::string key = one.at("privateKey");
     const auto found = this->items.find(key);
     const std::uint64_t revision =
         found == this->items.end() ? 0 : found->second.revision;
-    holds = holds && revision == one.at("revision").get<std::uint64_t>();
+    isMatch = isMatch && revision == one.at("revision").get<std::uint64_t>();
     if (found != this->items.end()) {
-      present.push_back(this->Show(key, found->second));
+      current.push_back(this->EncodeItem(key, found->second));
     }
   }
-  if (!holds) {
-    this->Reply(aConnection, kConditionFailed, {{"items", present}});
+  if (!isMatch) {
+    this->Reply(aConnection, kConditionFailed, {{"items", current}});
     return;
   }
   for (const Json& one : aBody.at("put")) {
@@ -190,7 +191,7 @@
   for (const Json& key : aBody.at("delete")) {
     this->Remove(key);
   }
-  if (this->losesAnswers && !aBody.at("put").empty()) {
+  if (this->dropsResponses && !aBody.at("put").empty()) {
     aConnection.Abort();
   } else {
     this->Reply(aConnection, kOk, {{"revision", this->revision}});
@@ -198,7 +199,7 @@
   this->NotifyAll();
 }
 
-void SoakStore::Grant(CallerConnection& aConnection, const Json& aBody) {
+void SoakStore::GrantLease(CallerConnection& aConnection, const Json& aBody) {
   const Micros ttl = Micros{1000 * aBody.at("ttl_ms").get<std::int64_t>()};
   this->lastLease += 1;
   this->leases[this->lastLease] = {ttl, this->clock.Now() + ttl};
@@ -206,13 +207,14 @@
               {{"lease", this->lastLease}, {"ttl_ms", ttl / 1ms}});
 }
 
-void SoakStore::Keep(CallerConnection& aConnection, std::uint64_t aLease) {
+void SoakStore::RenewLease(CallerConnection& aConnection,
+                           std::uint64_t aLease) {
   const auto found = this->leases.find(aLease);
   if (found == this->leases.end()) {
     this->Reply(aConnection, kNotFound, Json::object());
     return;
   }
-  found->second.until = this->clock.Now() + found->second.ttl;
+  found->second.expiresAt = this->clock.Now() + found->second.ttl;
   this->Reply(aConnection, kOk, Json::object());
 }
 
@@ -237,14 +239,14 @@
 }
 
 void SoakStore::Put(const std::string& aKey, const std::string& aValue) {
-  this->written[aKey] = aValue;
+  this->externalValues[aKey] = aValue;
   this->Set(aKey, aValue, 0);
   this->NotifyAll();
 }
 
 void SoakStore::Remove(const std::string& aKey) {
-  if (this->written.contains(aKey)) {
-    this->written[aKey].reset();
+  if (this->externalValues.contains(aKey)) {
+    this->externalValues[aKey].reset();
   }
   if (this->items.erase(aKey) > 0) {
     this->revision += 1;
@@ -253,46 +255,46 @@
   }
 }
 
-void SoakStore::TakeCopy(Instant aNow) {
-  if (aNow < this->nextCopy) {
+void SoakStore::TakeBackup(Instant aNow) {
+  if (aNow < this->nextBackup) {
     return;
   }
-  this->nextCopy = aNow + kCopyPause;
-  this->copies.push_back({aNow, this->items, this->leases, this->revision});
-  if (this->copies.size() > kMostCopies) {
-    this->copies.erase(this->copies.begin());
+  this->nextBackup = aNow + kBackupInterval;
+  this->backups.push_back({aNow, this->items, this->leases, this->revision});
+  if (this->backups.size() > kMaxBackups) {
+    this->backups.erase(this->backups.begin());
   }
 }
 
 void SoakStore::Restore(Micros aAge, Micros aRewrite, Random& aRandom) {
   const Instant now = this->clock.Now();
-  const auto newer =
-      std::find_if(this->copies.begin(), this->copies.end(),
-                   [&](const Copy& aCopy) { return now - aCopy.at <= aAge; });
-  if (newer == this->copies.end()) {
+  const auto oldest = std::find_if(
+      this->backups.begin(), this->backups.end(),
+      [&](const Backup& aBackup) { return now - aBackup.at <= aAge; });
+  if (oldest == this->backups.end()) {
     return;
   }
-  const Copy copy = *newer;
-  this->copies.erase(newer + 1, this->copies.end());
-  this->items = copy.items;
-  this->leases = copy.leases;
-  this->revision = copy.revision;
+  const Backup backup = *oldest;
+  this->backups.erase(oldest + 1, this->backups.end());
+  this->items = backup.items;
+  this->leases = backup.leases;
+  this->revision = backup.revision;
   this->era += 1;
   this->history.clear();
   this->historyFrom = this->revision;
-  std::vector<Wait> all;
-  all.swap(this->waits);
-  for (const Wait& wait : all) {
-    this->Reply(*wait.connection, kGone, Json::object());
+  std::vector<PendingWatch> all;
+  all.swap(this->pendingWatches);
+  for (const PendingWatch& watch : all) {
+    this->Reply(*watch.connection, kGone, Json::object());
   }
-  for (const auto& [key, value] : this->written) {
+  for (const auto& [key, value] : this->externalValues) {
     const Micros after{static_cast<std::int64_t>(
         aRandom.Unit() * static_cast<double>(aRewrite.count()))};
     this->rewrites.push_back({now + after, key});
   }
 }
 
-void SoakStore::WriteAgain(Instant aNow) {
+void SoakStore::ApplyRewrites(Instant aNow) {
   std::vector<Rewrite> due;
   std::erase_if(this->rewrites, [&](const Rewrite& aOne) {
     if (aNow >= aOne.at) {
@@ -301,7 +303,7 @@
     return aNow >= aOne.at;
   });
   for (const Rewrite& one : due) {
-    const std::optional<std::string> value = this->written[one.key];
+    const std::optional<std::string> value = this->externalValues[one.key];
     const auto found = this->items.find(one.key);
     if (!value) {
       this->Remove(one.key);
@@ -313,17 +315,17 @@
 
 void SoakStore::Tick() {
   const Instant now = this->clock.Now();
-  this->TakeCopy(now);
+  this->TakeBackup(now);
   if (!this->isDown) {
-    this->WriteAgain(now);
+    this->ApplyRewrites(now);
   }
-  std::vector<std::uint64_t> over;
+  std::vector<std::uint64_t> expired;
   for (const auto& [lease, state] : this->leases) {
-    if (now >= state.until && !this->isDown) {
-      over.push_back(lease);
+    if (now >= state.expiresAt && !this->isDown) {
+      expired.push_back(lease);
     }
   }
-  for (const std::uint64_t lease : over) {
+  for (const std::uint64_t lease : expired) {
     this->EndLease(lease);
   }
   this->NotifyAll();
--- a/SoakTests/SoakStore.h
+++ b/SoakTests/SoakStore.h
@@ -10,25 +10,26 @@
 
 namespace zincstep::soak {
 
-/// A stand-in of the operators' store: keys, ranges, watches, conditional
-/// changes and leases, by its published protocol.
+/// Stand-in for the operators' store: keys, ranges, watches, conditional
+/// transactions and leases, by its published protocol.
 class SoakStore final : public CallerHandler {
  public:
   SoakStore(asio::io_context& aLoop, const Clock& aClock);
 
   std::uint16_t Port() const { return this->listener.Port(); }
-  /// While it is down each call is answered with 503: nothing was done.
+  /// While the store is down, each call fails with 503 and has no effect.
   void SetDown(bool aIsDown) { this->isDown = aIsDown; }
-  /// Changes are made, and their answers are lost.
-  void SetLosesAnswers(bool aLoses) { this->losesAnswers = aLoses; }
-  /// Writes as the operator or an upstream does.
+  /// Transactions that put keys are applied, but their responses are dropped.
+  void SetDropsResponses(bool aLoses) { this->dropsResponses = aLoses; }
+  /// Writes or removes a key on behalf of the operator or an upstream.
   void Put(const std::string& aKey, const std::string& aValue);
   void Remove(const std::string& aKey);
-  /// It comes back as it was about so long ago: revisions go back, leases and
-  /// what the daemons wrote since are gone. What was written by `Put` and
-  /// `Remove` is written again, each at a time drawn from up to `aRewrite`.
+  /// Restores the oldest backup that is at most `aAge` old: revisions go back;
+  /// leases and keys that the daemons wrote since are lost. Changes made by
+  /// `Put` and `Remove` are repeated, each after a random delay of up to
+  /// `aRewrite`. Does nothing if there is no such backup.
   void Restore(Micros aAge, Micros aRewrite, Random& aRandom);
-  /// Ends leases and waits that are over, takes copies, and writes again.
+  /// Expires leases and watches, takes backups and applies pending rewrites.
   void Tick();
 
   void OnRequest(const std::shared_ptr<CallerConnection>& aConnection,
@@ -46,22 +47,22 @@
   struct Change {
     std::string key;
     std::uint64_t revision = 0;
-    /// None: it was removed.
+    /// Empty if the key was removed.
     std::optional<std::string> value;
   };
-  struct Wait {
+  struct PendingWatch {
     std::shared_ptr<CallerConnection> connection;
     std::string prefix;
     std::uint64_t after = 0;
-    Instant until;
+    Instant expiresAt;
   };
   struct Lease {
     Micros ttl{0};
-    Instant until;
+    Instant expiresAt;
   };
 
-  /// All that is kept, as it was at some time.
-  struct Copy {
+  /// A snapshot of the store's state.
+  struct Backup {
     Instant at;
     std::map<std::string, Item> items;
     std::map<std::uint64_t, Lease> leases;
@@ -72,20 +73,21 @@
     std::string key;
   };
 
-  void TakeCopy(Instant aNow);
-  void WriteAgain(Instant aNow);
-  Json Show(const std::string& aKey, const Item& aItem) const;
+  void TakeBackup(Instant aNow);
+  void ApplyRewrites(Instant aNow);
+  Json EncodeItem(const std::string& aKey, const Item& aItem) const;
   void Range(CallerConnection& aConnection, const std::string& aQuery);
   void Watch(const std::shared_ptr<CallerConnection>& aConnection,
              const std::string& aQuery);
   void Commit(CallerConnection& aConnection, const Json& aBody);
-  void Grant(CallerConnection& aConnection, const Json& aBody);
-  void Keep(CallerConnection& aConnection, std::uint64_t aLease);
+  void GrantLease(CallerConnection& aConnection, const Json& aBody);
+  void RenewLease(CallerConnection& aConnection, std::uint64_t aLease);
   void EndLease(std::uint64_t aLease);
   void Set(const std::string& aKey, const std::string& aValue,
            std::uint64_t aLease);
-  /// Answers a wait that has news, or whose time is over.
-  bool Notify(const Wait& aWait, bool aIsOver);
+  /// Responds to a watch that has changes or has expired; returns whether the
+  /// watch is finished.
+  bool Notify(const PendingWatch& aWatch, bool aHasExpired);
   void NotifyAll();
   void Reply(CallerConnection& aConnection, int aStatus, const Json& aBody);
 
@@ -93,21 +95,21 @@
   CallerListener listener;
   std::map<std::string, Item> items;
   std::vector<Change> history;
-  std::vector<Wait> waits;
+  std::vector<PendingWatch> pendingWatches;
   std::map<std::uint64_t, Lease> leases;
   std::uint64_t revision = 1;
   std::uint64_t era = 1;
-  /// Revision from which on changes are known; a watch from one before, or from
-  /// one that is not there, is told that the history is gone.
+  /// Changes after this revision are in the history. A watch from an earlier
+  /// revision, or from one that does not exist yet, fails with 410.
   std::uint64_t historyFrom = 0;
-  std::vector<Copy> copies;
-  Instant nextCopy{};
-  /// What the operator and the upstreams wrote last; none: it was removed.
-  std::map<std::string, std::optional<std::string>> written;
+  std::vector<Backup> backups;
+  Instant nextBackup{};
+  /// Last values written by the operator and the upstreams; empty if removed.
+  std::map<std::string, std::optional<std::string>> externalValues;
   std::vector<Rewrite> rewrites;
   std::uint64_t lastLease = 0;
   bool isDown = false;
-  bool losesAnswers = false;
+  bool dropsResponses = false;
 };
 
 }  // namespace zincstep::soak
--- a/SoakTests/SoakUpstream.cpp
+++ b/SoakTests/SoakUpstream.cpp
@@ -11,22 +11,24 @@
 using Json = nlohmann::json;
 
 constexpr int kOk = 200;
-constexpr int kTaken = 202;
+constexpr int kAccepted = 202;
 constexpr int kNotFound = 404;
 constexpr int kConflict = 409;
 constexpr int kMisdirected = 421;
 constexpr int kUnavailable = 503;
 constexpr Micros kLoadTime = 150ms;
-/// A plain upstream runs one request of so many and breaks its answer off.
-constexpr std::uint64_t kAnswersToOneLost = 15;
-/// A request that crashes an upstream has run for so long by then, and the
-/// upstream is back after this where nothing else is set.
-constexpr Micros kTimeToCrash = 50ms;
-constexpr Micros kTimeToReturn = 800ms;
-/// A chain with a lost member stands still for so long, then it is cut.
-constexpr Micros kStall = 2s;
-
-std::string HeaderOf(const CallerMessage& aMessage, std::string_view aName) {
+/// A plain upstream runs one in this many requests and aborts the connection
+/// instead of responding.
+constexpr std::uint64_t kResponsesPerDrop = 15;
+/// Time from the start of a crashing request to the crash, and default time
+/// from there to the restart.
+constexpr Micros kCrashDelay = 50ms;
+constexpr Micros kDefaultRestartDelay = 800ms;
+/// A chain with a lost member stalls for this long, then its connection is
+/// aborted.
+constexpr Micros kStallTimeout = 2s;
+
+std::string GetHeader(const CallerMessage& aMessage, std::string_view aName) {
   return std::string(FindHeader(aMessage.head.headers, aName));
 }
 
@@ -40,15 +42,16 @@
   LayerRange layers;
 };
 
-std::vector<PathPart> PartsOf(const std::string& aPath) {
+std::vector<PathPart> ParsePath(const std::string& aPath) {
   std::vector<PathPart> parts;
   std::istringstream list(aPath);
   for (std::string text; std::getline(list, text, ',');) {
-    const std::size_t mark = text.find('=');
-    const std::size_t dash = text.find('-', mark);
-    parts.push_back({text.substr(0, mark),
-                     {std::stoi(text.substr(mark + 1, dash - mark - 1)),
-                      std::stoi(text.substr(dash + 1))}});
+    const std::size_t separator = text.find('=');
+    const std::size_t dash = text.find('-', separator);
+    parts.push_back(
+        {text.substr(0, separator),
+         {std::stoi(text.substr(separator + 1, dash - separator - 1)),
+          std::stoi(text.substr(dash + 1))}});
   }
   return parts;
 }
@@ -58,9 +61,9 @@
 std::string BodyFor(const std::string& aId) { return "answer to " + aId; }
 
 int EventsFor(const std::string& aId) {
-  constexpr int kFewest = 10;
-  constexpr int kSpread = 30;
-  return kFewest + static_cast<int>(Hash64(aId) % kSpread);
+  constexpr int kMinEvents = 10;
+  constexpr int kEventSpread = 30;
+  return kMinEvents + static_cast<int>(Hash64(aId) % kEventSpread);
 }
 
 std::string EventFor(const std::string& aId, int aNumber) {
@@ -69,37 +72,37 @@
 }
 
 SoakUpstream::SoakUpstream(asio::io_context& aLoop, const Clock& aClock,
-                           SoakStore& aStore, Ledger& aLedger,
+                           SoakStore& aStore, InvariantChecker& aChecker,
                            UpstreamsByAddress& aPeers, std::string aName,
                            std::string aService, std::string aDomain)
     : clock(aClock),
       store(aStore),
-      ledger(aLedger),
+      checker(aChecker),
       peers(aPeers),
       name(std::move(aName)),
       service(std::move(aService)),
       domain(std::move(aDomain)),
       listener(aLoop, *this, aClock),
-      timeToReturn(kTimeToReturn) {
+      restartDelay(kDefaultRestartDelay) {
   ZINCSTEP_ASSERT(this->listener.Start("127.0.0.1:0").has_value());
   this->proxy = std::make_unique<FaultProxy>(aLoop, this->listener.Port());
   this->proxy->SetOnReset([this] {
-    this->ledger.Event("connection_reset", {{"upstream", this->id}});
+    this->checker.WriteEvent("connection_reset", {{"upstream", this->id}});
   });
   this->peers[this->proxy->Address()] = this;
   this->Restart();
 }
 
-void SoakUpstream::Kill(bool aIsDark) {
+void SoakUpstream::Kill(bool aIsBlackholed) {
   if (!this->isAlive) {
     return;
   }
   this->isAlive = false;
-  this->proxy->Set(LinkState::Reset);
-  if (aIsDark) {
-    this->proxy->Set(LinkState::Silent);
+  this->proxy->SetState(LinkState::Reset);
+  if (aIsBlackholed) {
+    this->proxy->SetState(LinkState::Blackholed);
   }
-  for (const auto& connection : std::exchange(this->dying, {})) {
+  for (const auto& connection : std::exchange(this->crashingConnections, {})) {
     connection->Abort();
   }
   const std::vector<Stream> all = std::move(this->streams);
@@ -115,20 +118,21 @@
   this->incarnation += 1;
   const std::string next = this->name + "-" + std::to_string(this->incarnation);
   if (this->id.empty() || Hash64(next) % 2 == 0) {
-    this->id = next;  // Each second one starts again under the id that it had.
+    this->id = next;  // Half of the restarts reuse the previous id.
   }
   this->sequence = 0;
   this->limit.reset();
-  this->rest.reset();
+  this->retryAfter.reset();
   this->layers = {};
   this->loading.reset();
   this->isAlive = true;
   this->isDraining = false;
-  this->isNoticeOver = false;
-  this->proxy->Set(LinkState::Up);
-  this->ledger.Event("upstream_started", {{"upstream", this->id},
-                                          {"born", this->incarnation},
-                                          {"address", this->proxy->Address()}});
+  this->isNoticePeriodOver = false;
+  this->proxy->SetState(LinkState::Up);
+  this->checker.WriteEvent("upstream_started",
+                           {{"upstream", this->id},
+                            {"born", this->incarnation},
+                            {"address", this->proxy->Address()}});
   this->WriteEntry();
 }
 
@@ -153,38 +157,39 @@
   this->store.Put("servers/" + this->id, entry.dump());
 }
 
-bool SoakUpstream::Holds(LayerRange aLayers) const {
+bool SoakUpstream::HoldsLayers(LayerRange aLayers) const {
   return this->isAlive && !this->loading && this->layers.Covers(aLayers);
 }
 
-std::string SoakUpstream::Missing(const std::string& aPath) const {
-  for (const PathPart& part : PartsOf(aPath)) {
+std::string SoakUpstream::FindMissingMember(const std::string& aPath) const {
+  for (const PathPart& part : ParsePath(aPath)) {
     const auto found = this->peers.find(part.address);
-    if (found == this->peers.end() || !found->second->Holds(part.layers)) {
+    if (found == this->peers.end() ||
+        !found->second->HoldsLayers(part.layers)) {
       return part.address;
     }
   }
   return "";
 }
 
-bool SoakUpstream::TakesRequests() const {
+bool SoakUpstream::AcceptsRequests() const {
   return this->isAlive && !this->isDraining &&
-         (!this->IsOfModel() || this->Holds({0, 1}));
+         (!this->IsOfModel() || this->HoldsLayers({0, 1}));
 }
 
-std::size_t SoakUpstream::MostCalls(Instant aSince, Micros aWindow) const {
-  std::size_t most = 0;
+std::size_t SoakUpstream::MaxCalls(Instant aSince, Micros aWindow) const {
+  std::size_t maxCalls = 0;
   for (auto end = this->calls.begin(); end != this->calls.end(); ++end) {
     const Instant after = std::max(aSince, *end - aWindow);
     const auto first = std::upper_bound(this->calls.begin(), end, after);
     if (*end >= aSince) {
-      most = std::max(most, static_cast<std::size_t>(end - first) + 1);
+      maxCalls = std::max(maxCalls, static_cast<std::size_t>(end - first) + 1);
     }
   }
-  return most;
+  return maxCalls;
 }
 
-HttpHeaders SoakUpstream::WithLimit(HttpHeaders aHeaders) const {
+HttpHeaders SoakUpstream::AddLimitHeader(HttpHeaders aHeaders) const {
   if (this->limit) {
     aHeaders.push_back({"Server-Limit", std::to_string(*this->limit)});
   }
@@ -195,7 +200,7 @@
     const std::shared_ptr<CallerConnection>& aConnection,
     CallerMessage aMessage) {
   this->calls.push_back(this->clock.Now());
-  const std::string expected = HeaderOf(aMessage, "X-Expect-Instance");
+  const std::string expected = GetHeader(aMessage, "X-Expect-Instance");
   if (!this->isAlive || (!expected.empty() && expected != this->id)) {
     aConnection->Answer(kMisdirected, {{"X-Not-Executed", "1"}}, "");
   } else if (aMessage.head.target == "/report") {
@@ -213,60 +218,61 @@
   });
 }
 
-bool SoakUpstream::LosesAnswerTo(const std::string& aRequest) const {
-  return Hash64(aRequest + this->name) % kAnswersToOneLost == 0;
+bool SoakUpstream::DropsResponseTo(const std::string& aRequest) const {
+  return Hash64(aRequest + this->name) % kResponsesPerDrop == 0;
 }
 
 void SoakUpstream::Run(const std::shared_ptr<CallerConnection>& aConnection,
                        const CallerMessage& aMessage) {
-  const std::string request = HeaderOf(aMessage, "X-Attempt-Id");
-  const std::string path = HeaderOf(aMessage, "Path");
-  const std::string missing = this->Missing(path);
-  if (this->rest) {
+  const std::string request = GetHeader(aMessage, "X-Attempt-Id");
+  const std::string path = GetHeader(aMessage, "Path");
+  const std::string missing = this->FindMissingMember(path);
+  if (this->retryAfter) {
     aConnection->Answer(kUnavailable,
                         {{"X-Attempt-Id", request},
                          {"X-Not-Executed", "1"},
-                         RetryAfterHeader(*this->rest)},
+                         RetryAfterHeader(*this->retryAfter)},
                         "");
     return;
   }
   if (!missing.empty()) {
     aConnection->Answer(kUnavailable,
-                        this->WithLimit({{"X-Attempt-Id", request},
-                                         {"X-Not-Executed", "1"},
-                                         {"At-Server", missing}}),
+                        this->AddLimitHeader({{"X-Attempt-Id", request},
+                                              {"X-Not-Executed", "1"},
+                                              {"At-Server", missing}}),
                         "");
     return;
   }
-  this->ledger.Ran(request, HeaderOf(aMessage, "X-Tenant"));
-  if (this->isNoticeOver) {
-    this->ledger.Broken("request " + request + " reached " + this->id +
-                        " long after it announced that it leaves");
+  this->checker.OnRequestRun(request, GetHeader(aMessage, "X-Tenant"));
+  if (this->isNoticePeriodOver) {
+    this->checker.AddViolation("request " + request + " reached " + this->id +
+                               " after the notice period of its drain");
   }
   if (this->service != "model") {
-    this->LosesAnswerTo(request)
+    this->DropsResponseTo(request)
         ? aConnection->Abort()
-        : aConnection->Answer(kOk, this->WithLimit(SealedHeaders(request)),
+        : aConnection->Answer(kOk, this->AddLimitHeader(SealedHeaders(request)),
                               BodyFor(request));
     return;
   }
   if (aMessage.head.target == kCrashingPath) {
-    this->ledger.CrashingSent(this->clock.Now());
-    this->ledger.Event("crashing_request",
-                       {{"request", request}, {"upstream", this->id}});
-    this->crashAt = this->crashAt.value_or(this->clock.Now() + kTimeToCrash);
-    this->dying.push_back(aConnection);
+    this->checker.OnCrashingRequestSent(this->clock.Now());
+    this->checker.WriteEvent("crashing_request",
+                             {{"request", request}, {"upstream", this->id}});
+    this->crashAt = this->crashAt.value_or(this->clock.Now() + kCrashDelay);
+    this->crashingConnections.push_back(aConnection);
     return;
   }
   int next = 0;
-  for (const PathPart& part : PartsOf(path)) {
+  for (const PathPart& part : ParsePath(path)) {
     if (part.layers.first != next) {
-      this->ledger.Broken("request " + request + " leaves layers out: " + path);
+      this->checker.AddViolation("request " + request +
+                                 " skips layers: " + path);
     }
     next = part.layers.last;
   }
-  const std::string last = HeaderOf(aMessage, "Last-Event-Id");
-  auto headers = this->WithLimit(SealedHeaders(request));
+  const std::string last = GetHeader(aMessage, "Last-Event-Id");
+  auto headers = this->AddLimitHeader(SealedHeaders(request));
   headers.push_back({"Content-Type", "text/event-stream"});
   aConnection->BeginChunks(kOk, headers);
   this->streams.push_back({aConnection, request, path,
@@ -274,48 +280,48 @@
                            this->clock.Now()});
 }
 
-void SoakUpstream::CrashOrReturn(Instant aNow) {
+void SoakUpstream::CrashOrRestart(Instant aNow) {
   if (this->crashAt && aNow >= *this->crashAt) {
     this->crashAt.reset();
     if (this->isAlive) {
-      this->ledger.CrashedOne(aNow);
-      this->ledger.Event("upstream_crashed",
-                         {{"upstream", this->id},
-                          {"born", this->incarnation},
-                          {"streams", this->streams.size()}});
+      this->checker.OnUpstreamCrash(aNow);
+      this->checker.WriteEvent("upstream_crashed",
+                               {{"upstream", this->id},
+                                {"born", this->incarnation},
+                                {"streams", this->streams.size()}});
       this->Kill(false);
-      this->backAt = aNow + this->timeToReturn;
+      this->restartAt = aNow + this->restartDelay;
     }
   }
-  if (this->backAt && aNow >= *this->backAt) {
-    this->backAt.reset();
+  if (this->restartAt && aNow >= *this->restartAt) {
+    this->restartAt.reset();
     this->Restart();
   }
 }
 
 void SoakUpstream::Tick() {
   const Instant now = this->clock.Now();
-  this->CrashOrReturn(now);
+  this->CrashOrRestart(now);
   if (this->isAlive && this->loading && now >= this->loadedAt) {
     this->layers = *this->loading;
     this->loading.reset();
     this->WriteEntry();
   }
-  // A connection that closes here takes its stream out of the member.
+  // A connection that closes here removes its stream from `streams`.
   std::vector<Stream> all;
   all.swap(this->streams);
   std::erase_if(all, [&](Stream& aStream) {
     if (aStream.connection->IsClosed()) {
       return true;
     }
-    if (!this->Missing(aStream.path).empty()) {
-      const bool isOver = now - aStream.movedAt > kStall;
+    if (!this->FindMissingMember(aStream.path).empty()) {
+      const bool isOver = now - aStream.lastProgressAt > kStallTimeout;
       if (isOver) {
         aStream.connection->Abort();
       }
       return isOver;
     }
-    aStream.movedAt = now;
+    aStream.lastProgressAt = now;
     const int count = EventsFor(aStream.id);
     if (aStream.next <= count) {
       aStream.connection->AppendChunk(EventFor(aStream.id, aStream.next));
@@ -331,7 +337,7 @@
 void SoakUpstream::Report(CallerConnection& aConnection) {
   Json stalled = Json::array();
   for (const Stream& stream : this->streams) {
-    const std::string missing = this->Missing(stream.path);
+    const std::string missing = this->FindMissingMember(stream.path);
     if (!missing.empty()) {
       stalled.push_back({{"id", stream.id}, {"address", missing}});
     }
@@ -348,9 +354,9 @@
       {"kvUsed", 0},
       {"kvTotal", 1000},
       {"stalled", stalled}};
-  aConnection.Answer(kOk,
-                     this->WithLimit({{"Content-Type", "application/json"}}),
-                     report.dump());
+  aConnection.Answer(
+      kOk, this->AddLimitHeader({{"Content-Type", "application/json"}}),
+      report.dump());
 }
 
 void SoakUpstream::Order(CallerConnection& aConnection,
@@ -361,35 +367,35 @@
 }
 
 void SoakUpstream::Place(CallerConnection& aConnection, const Json& aBody) {
-  const LayerRange wanted{aBody.value("from", 0),
-                          aBody.value("targetVersion", 0)};
+  const LayerRange assigned{aBody.value("from", 0),
+                            aBody.value("targetVersion", 0)};
   if (this->loading || aBody.value("expectedRevision", -1) != this->sequence) {
-    aConnection.Answer(kConflict, this->WithLimit({}), "{}");
+    aConnection.Answer(kConflict, this->AddLimitHeader({}), "{}");
     return;
   }
   this->sequence += 1;
-  this->loading = wanted;
+  this->loading = assigned;
   this->loadedAt = this->clock.Now() + kLoadTime;
-  aConnection.Answer(kTaken, this->WithLimit({}), "{}");
+  aConnection.Answer(kAccepted, this->AddLimitHeader({}), "{}");
 }
 
 void SoakUpstream::Reroute(CallerConnection& aConnection, const Json& aBody) {
   const std::string path = aBody.value("path", "");
-  const std::string missing = this->Missing(path);
+  const std::string missing = this->FindMissingMember(path);
   for (Stream& stream : this->streams) {
     if (stream.id != aBody.value("id", "")) {
       continue;
     }
     if (missing.empty()) {
       stream.path = path;
-      aConnection.Answer(kOk, this->WithLimit({}), "{}");
+      aConnection.Answer(kOk, this->AddLimitHeader({}), "{}");
     } else {
-      aConnection.Answer(kConflict, this->WithLimit({}),
+      aConnection.Answer(kConflict, this->AddLimitHeader({}),
                          Json{{"address", missing}}.dump());
     }
     return;
   }
-  aConnection.Answer(kNotFound, this->WithLimit({}), "{}");
+  aConnection.Answer(kNotFound, this->AddLimitHeader({}), "{}");
 }
 
 }  // namespace zincstep::soak
--- a/SoakTests/SoakUpstream.h
+++ b/SoakTests/SoakUpstream.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "SoakTests/FaultProxy.h"
-#include "SoakTests/Ledger.h"
+#include "SoakTests/InvariantChecker.h"
 #include "SoakTests/SoakStore.h"
 #include "Zincstep/Config/Config.h"
 
@@ -13,54 +13,62 @@
 
 class SoakUpstream;
 
-/// All upstreams, by the address that their entries tell.
+/// All upstreams, by the address in their entries.
 using UpstreamsByAddress = std::map<std::string, SoakUpstream*>;
 
-/// A request with this path crashes whoever begins to run it.
+/// A request with this path crashes each upstream that starts to run it.
 inline constexpr const char* kCrashingPath = "/llm/crash";
 
-/// The body of a whole answer to a request.
+/// Returns the body of a complete response to a request.
 std::string BodyFor(const std::string& aId);
-/// One event of the stream that answers a request, and how many it has.
+/// Return one event of the response stream to a request, and the number of its
+/// events.
 std::string EventFor(const std::string& aId, int aNumber);
 int EventsFor(const std::string& aId);
 
-/// A stand-in of an upstream: a plain service, or a member of a split model
-/// that holds layers, takes orders and streams events as a chain's first.
+/// Stand-in for an upstream: a plain service, or a member of a split model that
+/// holds layers, accepts orders and streams events as the first of a chain.
 ///
-/// It is reached through a proxy. What a chain's other members do is played
-/// by the first one, which stands still while one of them is down.
+/// It is reached through a proxy. The first member of a chain simulates the
+/// others and stalls while one of them is down.
 class SoakUpstream final : public CallerHandler {
  public:
   SoakUpstream(asio::io_context& aLoop, const Clock& aClock, SoakStore& aStore,
-               Ledger& aLedger, UpstreamsByAddress& aPeers, std::string aName,
-               std::string aService, std::string aDomain);
+               InvariantChecker& aChecker, UpstreamsByAddress& aPeers,
+               std::string aName, std::string aService, std::string aDomain);
 
-  /// Ends this incarnation; `aIsDark`: it says nothing instead of resetting.
-  void Kill(bool aIsDark);
-  /// Begins a new incarnation, without layers, often under the id it had.
+  /// Ends this incarnation. With `aIsBlackholed` its link blackholes
+  /// connections instead of resetting them.
+  void Kill(bool aIsBlackholed);
+  /// Starts a new incarnation, without layers, often under the previous id.
   void Restart();
-  /// Announces that it leaves; it serves on until it is killed.
+  /// Announces that it is draining; it keeps serving until it is killed.
   void Drain();
-  /// From now on each request that comes is too late.
-  void EndDrainNotice() { this->isNoticeOver = this->isDraining; }
-  /// Its link accepts connections after its end, and resets them so much later.
+  /// Ends the notice period of a drain: each later request is a violation.
+  void EndDrainNotice() { this->isNoticePeriodOver = this->isDraining; }
+  /// After a kill, the link accepts connections and resets them after `aDelay`.
   void SetResetDelay(Micros aDelay) { this->proxy->SetResetDelay(aDelay); }
-  /// It is back so long after a request has crashed it.
-  void SetTimeToReturn(Micros aTime) { this->timeToReturn = aTime; }
-  /// Open connections to it fall silent for good; new ones work.
-  void SilenceConnections() { this->proxy->SilenceOpen(); }
-  /// From now on all its answers name that limit of calls a second, or none.
-  void NameLimit(std::optional<double> aPerSecond) { this->limit = aPerSecond; }
-  /// From now on it turns all requests away and asks for that rest, or not.
-  void AskForRest(std::optional<Micros> aRest) { this->rest = aRest; }
-  /// Whether it is asked for requests: a plain one, or the first of a chain.
-  bool TakesRequests() const;
-  /// All calls that it got: requests, reports and orders.
+  /// Sets the time from a crash by a request to the restart.
+  void SetRestartDelay(Micros aDelayToRestart) {
+    this->restartDelay = aDelayToRestart;
+  }
+  /// Blackholes all open connections for good; new ones work.
+  void BlackholeConnections() { this->proxy->BlackholeOpen(); }
+  /// From now on its responses carry this limit in calls per second, or none.
+  void SetLimit(std::optional<double> aPerSecond) { this->limit = aPerSecond; }
+  /// From now on it rejects all requests with this Retry-After; nullopt: it
+  /// serves them.
+  void SetRetryAfter(std::optional<Micros> aRetryAfter) {
+    this->retryAfter = aRetryAfter;
+  }
+  /// Whether daemons may send it requests: a plain upstream, or the first of a
+  /// chain.
+  bool AcceptsRequests() const;
+  /// Number of calls received: requests, reports and orders.
   std::size_t Calls() const { return this->calls.size(); }
-  /// Most of them in any span of `aWindow` since then.
-  std::size_t MostCalls(Instant aSince, Micros aWindow) const;
-  /// Goes on with its streams; to be called many times a second.
+  /// Maximum number of calls in any window of `aWindow` after `aSince`.
+  std::size_t MaxCalls(Instant aSince, Micros aWindow) const;
+  /// Advances its streams; call many times per second.
   void Tick();
   bool IsAlive() const { return this->isAlive; }
   bool IsOfModel() const { return this->service == "model"; }
@@ -75,12 +83,12 @@
     std::string id;
     std::string path;
     int next = 1;
-    Instant movedAt;
+    Instant lastProgressAt;
   };
 
-  /// Fields that all its answers have.
-  HttpHeaders WithLimit(HttpHeaders aHeaders) const;
-  void CrashOrReturn(Instant aNow);
+  /// Adds the limit header, if a limit is set.
+  HttpHeaders AddLimitHeader(HttpHeaders aHeaders) const;
+  void CrashOrRestart(Instant aNow);
   void WriteEntry();
   void Report(CallerConnection& aConnection);
   void Order(CallerConnection& aConnection, const std::string& aBody);
@@ -88,16 +96,16 @@
   void Reroute(CallerConnection& aConnection, const nlohmann::json& aBody);
   void Run(const std::shared_ptr<CallerConnection>& aConnection,
            const CallerMessage& aMessage);
-  /// Whether the answer to a request that ran here is lost.
-  bool LosesAnswerTo(const std::string& aRequest) const;
-  /// The address of the first member of a path that does not hold its part;
-  /// empty where all do.
-  std::string Missing(const std::string& aPath) const;
-  bool Holds(LayerRange aLayers) const;
+  /// Whether the response to a request that ran here is dropped.
+  bool DropsResponseTo(const std::string& aRequest) const;
+  /// Returns the address of the first member of a path that does not hold its
+  /// layers; empty if all do.
+  std::string FindMissingMember(const std::string& aPath) const;
+  bool HoldsLayers(LayerRange aLayers) const;
 
   const Clock& clock;
   SoakStore& store;
-  Ledger& ledger;
+  InvariantChecker& checker;
   UpstreamsByAddress& peers;
   std::string name;
   std::string service;
@@ -105,25 +113,25 @@
   CallerListener listener;
   std::unique_ptr<FaultProxy> proxy;
   std::vector<Stream> streams;
-  /// Connections of requests that are about to crash it.
-  std::vector<std::shared_ptr<CallerConnection>> dying;
+  /// Connections of requests that will crash this upstream.
+  std::vector<std::shared_ptr<CallerConnection>> crashingConnections;
   std::string id;
   int incarnation = 0;
   int sequence = 0;
   LayerRange layers;
-  /// What is being loaded, and until when.
+  /// The layers being loaded, and when loading completes.
   std::optional<LayerRange> loading;
   Instant loadedAt;
   std::optional<double> limit;
-  std::optional<Micros> rest;
+  std::optional<Micros> retryAfter;
   std::vector<Instant> calls;
   bool isAlive = false;
   bool isDraining = false;
-  bool isNoticeOver = false;
-  Micros timeToReturn;
-  /// When what it runs crashes it, and when it is back after that.
+  bool isNoticePeriodOver = false;
+  Micros restartDelay;
+  /// When a running request crashes it, and when it restarts after that.
   std::optional<Instant> crashAt;
-  std::optional<Instant> backAt;
+  std::optional<Instant> restartAt;
 };
 
 }  // namespace zincstep::soak
