--- a/FuzzTests/CallerRequestFuzz.cpp
+++ b/FuzzTests/CallerRequestFuzz.cpp
@@ -1,6 +1,6 @@
 #include "Zincstep/Entry/CallerRequest.h"
 
-/// Whatever a caller's body holds is refused, or a request with a prompt.
+/// Any body is either rejected or parsed as a request with a prompt.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* aData,
                                       std::size_t aSize) {
   const std::string body(reinterpret_cast<const char*>(aData), aSize);
--- a/FuzzTests/ClaimStateTest.cpp
+++ b/FuzzTests/ClaimStateTest.cpp
@@ -17,10 +17,10 @@
 constexpr int kKeys = 3;
 constexpr Micros kVoteTime = 400ms;
 
-/// A message on its way between two members.
-struct Flight {
-  enum class Kind { Ask, Vote, Release, Finish };
-  Kind kind = Kind::Ask;
+/// A message in flight between two members.
+struct Message {
+  enum class Kind { VoteRequest, Vote, Release, Finish };
+  Kind kind = Kind::VoteRequest;
   std::string from;
   std::string to;
   std::uint64_t round = 0;
@@ -29,7 +29,7 @@
   ClaimVote vote;
 };
 
-/// One daemon: its witness table, and the lists as it knows them.
+/// One daemon with its witness table and its known member lists.
 struct Daemon {
   Member member;
   WitnessTable table{WitnessTableSettings{}};
@@ -37,25 +37,25 @@
   bool isDown = false;
 };
 
-/// A claim of one daemon for one key.
+/// One claim round of a daemon for a key.
 struct Round {
   std::string owner;
   std::string key;
   std::unique_ptr<ClaimRound> claim;
   bool isWon = false;
-  bool isEnded = false;
+  bool hasEnded = false;
 };
 
 struct ClaimModel {};
 
-/// Daemons, the network between them, and the agreed lists.
+/// Daemons, the network between them, and the agreed member lists.
 class ClaimWorld {
  public:
   ClaimWorld() {
     for (int i = 0; i < kDomains * kPerDomain; ++i) {
       this->AddDaemon(i % kDomains);
     }
-    this->Agree();
+    this->UpdateAgreedLists();
     for (Daemon& daemon : this->daemons) {
       daemon.lists = this->agreed;
     }
@@ -70,8 +70,8 @@
     this->daemons.push_back(std::move(daemon));
   }
 
-  /// A keeper of each domain brings the agreed lists up to date.
-  void Agree() {
+  /// The planner of each domain updates the agreed lists.
+  void UpdateAgreedLists() {
     for (int domain = 0; domain < kDomains; ++domain) {
       const std::string name = "d" + std::to_string(domain);
       std::vector<Member> live;
@@ -80,8 +80,8 @@
           live.push_back(daemon.member);
         }
       }
-      this->agreed = this->keepers[static_cast<std::size_t>(domain)].Next(
-          this->agreed, name, live, this->gone, this->handedTo,
+      this->agreed = this->planners[static_cast<std::size_t>(domain)].Next(
+          this->agreed, name, live, this->removedMembers, this->handedTo,
           this->clock.Now());
     }
   }
@@ -95,7 +95,7 @@
     return nullptr;
   }
 
-  void Begin(std::size_t aDaemon, int aKey) {
+  void StartClaim(std::size_t aDaemon, int aKey) {
     Daemon& daemon = this->daemons[aDaemon % this->daemons.size()];
     if (daemon.isDown) {
       return;
@@ -109,77 +109,77 @@
     round.claim = std::make_unique<ClaimRound>(claim, daemon.lists,
                                                this->clock.Now() + kVoteTime);
     for (const std::string& member : round.claim->PendingWitnesses()) {
-      this->flights.push_back({Flight::Kind::Ask,
-                               daemon.member.name,
-                               member,
-                               this->lastRound,
-                               daemon.lists.Epoch(),
-                               claim,
-                               {}});
+      this->messages.push_back({Message::Kind::VoteRequest,
+                                daemon.member.name,
+                                member,
+                                this->lastRound,
+                                daemon.lists.Epoch(),
+                                claim,
+                                {}});
     }
     this->rounds[this->lastRound] = std::move(round);
   }
 
-  void Deliver(std::size_t aFlight, bool aKeep) {
-    if (this->flights.empty()) {
+  void Deliver(std::size_t aMessage, bool aIsDuplicated) {
+    if (this->messages.empty()) {
       return;
     }
-    const std::size_t at = aFlight % this->flights.size();
-    const Flight flight = this->flights[at];
-    if (!aKeep) {
-      this->flights.erase(this->flights.begin() +
-                          static_cast<std::ptrdiff_t>(at));
+    const std::size_t index = aMessage % this->messages.size();
+    const Message message = this->messages[index];
+    if (!aIsDuplicated) {
+      this->messages.erase(this->messages.begin() +
+                           static_cast<std::ptrdiff_t>(index));
     }
-    Daemon* to = this->Find(flight.to);
+    Daemon* to = this->Find(message.to);
     if (to == nullptr || to->isDown) {
       return;
     }
-    switch (flight.kind) {
-      case Flight::Kind::Ask: {
+    switch (message.kind) {
+      case Message::Kind::VoteRequest: {
         ClaimVote vote{ClaimVote::Kind::StaleMembers, {}};
-        if (flight.epoch >= to->lists.Epoch()) {
-          vote = to->table.Vote(flight.claim, this->clock.Now());
+        if (message.epoch >= to->lists.Epoch()) {
+          vote = to->table.Vote(message.claim, this->clock.Now());
         }
-        this->flights.push_back({Flight::Kind::Vote, flight.to, flight.from,
-                                 flight.round, 0, flight.claim, vote});
+        this->messages.push_back({Message::Kind::Vote, message.to, message.from,
+                                  message.round, 0, message.claim, vote});
         break;
       }
-      case Flight::Kind::Vote:
-        this->OnVote(flight);
+      case Message::Kind::Vote:
+        this->OnVote(message);
         break;
-      case Flight::Kind::Release:
-        to->table.Release(flight.claim.key, flight.claim.claimant);
+      case Message::Kind::Release:
+        to->table.Release(message.claim.key, message.claim.claimant);
         break;
-      case Flight::Kind::Finish:
-        to->table.Finish(flight.claim, this->clock.Now());
+      case Message::Kind::Finish:
+        to->table.Finish(message.claim, this->clock.Now());
         break;
     }
   }
 
-  void OnVote(const Flight& aFlight) {
-    Round& round = this->rounds.at(aFlight.round);
-    const bool wasOver = round.claim->IsOver();
+  void OnVote(const Message& aMessage) {
+    Round& round = this->rounds.at(aMessage.round);
+    const bool wasFinished = round.claim->IsOver();
     const auto verdict =
-        round.claim->OnVote(aFlight.from, aFlight.vote, this->clock.Now());
-    if (wasOver && !round.isWon &&
-        aFlight.vote.kind == ClaimVote::Kind::Granted) {
-      this->Send(Flight::Kind::Release, round, aFlight.from);
+        round.claim->OnVote(aMessage.from, aMessage.vote, this->clock.Now());
+    if (wasFinished && !round.isWon &&
+        aMessage.vote.kind == ClaimVote::Kind::Granted) {
+      this->Send(Message::Kind::Release, round, aMessage.from);
     }
-    this->Settle(round, verdict);
+    this->OnVerdict(round, verdict);
   }
 
-  void Settle(Round& aRound, std::optional<ClaimVerdict> aVerdict) {
+  void OnVerdict(Round& aRound, std::optional<ClaimVerdict> aVerdict) {
     if (!aVerdict) {
       return;
     }
     if (*aVerdict != ClaimVerdict::Won) {
       for (const std::string& member : aRound.claim->Granted()) {
-        this->Send(Flight::Kind::Release, aRound, member);
+        this->Send(Message::Kind::Release, aRound, member);
       }
       return;
     }
     aRound.isWon = true;
-    // The rule: it runs now, and no other run of the key is remembered.
+    // Invariant: no other run of the key within its retention time.
     const auto last = this->ranAt.find(aRound.key);
     RC_ASSERT(last == this->ranAt.end() ||
               this->clock.Now() - last->second >= kKeyRetention - kVoteTime);
@@ -187,9 +187,9 @@
     this->runs += 1;
   }
 
-  void Send(Flight::Kind aKind, const Round& aRound,
+  void Send(Message::Kind aKind, const Round& aRound,
             const std::string& aMember) {
-    this->flights.push_back(
+    this->messages.push_back(
         {aKind, aRound.owner, aMember, 0, 0, aRound.claim->GetClaim(), {}});
   }
 
@@ -199,67 +199,67 @@
     }
     Round& round = this->rounds.at(1 + aRound % this->lastRound);
     if (!round.claim->IsOver()) {
-      this->Settle(round, round.claim->OnTimeout());
+      this->OnVerdict(round, round.claim->OnTimeout());
     }
   }
 
-  /// A won run ends: its outcome goes to all witnesses.
+  /// A run that won its claim ends and sends its outcome to all witnesses.
   void Finish(std::size_t aRound) {
     if (this->lastRound == 0) {
       return;
     }
     Round& round = this->rounds.at(1 + aRound % this->lastRound);
     Daemon* owner = this->Find(round.owner);
-    if (!round.isWon || round.isEnded || owner == nullptr || owner->isDown) {
+    if (!round.isWon || round.hasEnded || owner == nullptr || owner->isDown) {
       return;
     }
-    round.isEnded = true;
+    round.hasEnded = true;
     for (const std::string& member : round.claim->PendingWitnesses()) {
-      this->Send(Flight::Kind::Finish, round, member);
+      this->Send(Message::Kind::Finish, round, member);
     }
     Claim claim = round.claim->GetClaim();
     claim.state = ClaimState::Finished;
     for (const MemberList& list : owner->lists.lists) {
       for (const std::string& witness : WitnessesOf(list, round.key)) {
-        this->flights.push_back({Flight::Kind::Finish,
-                                 round.owner,
-                                 owner->lists.Resolve(witness),
-                                 0,
-                                 0,
-                                 claim,
-                                 {}});
+        this->messages.push_back({Message::Kind::Finish,
+                                  round.owner,
+                                  owner->lists.Resolve(witness),
+                                  0,
+                                  0,
+                                  claim,
+                                  {}});
       }
     }
   }
 
-  /// A VM dies: the list shows it, and a new one comes in its place.
+  /// A VM crashes: the list shows it, and a new one replaces it.
   void Crash(std::size_t aDaemon) {
     Daemon& daemon = this->daemons[aDaemon % this->daemons.size()];
     if (daemon.isDown) {
       return;
     }
     daemon.isDown = true;
-    this->gone.push_back(daemon.member.name);
+    this->removedMembers.push_back(daemon.member.name);
     this->AddDaemon(daemon.member.failureDomain[1] - '0');
   }
 
-  /// A planned stop: the claims go to another daemon of the domain first.
+  /// A planned stop: another daemon of the domain takes over the claims first.
   void HandOver(std::size_t aDaemon) {
     const std::size_t from = aDaemon % this->daemons.size();
     Daemon& daemon = this->daemons[from];
     for (Daemon& other : this->daemons) {
-      const bool takes =
+      const bool canTakeOver =
           !other.isDown && !other.table.IsClosed() &&
           other.member.name != daemon.member.name &&
           other.member.failureDomain == daemon.member.failureDomain;
-      if (!daemon.isDown && takes) {
+      if (!daemon.isDown && canTakeOver) {
         other.table.Merge(daemon.table.Close(), this->clock.Now());
         this->handedTo[daemon.member.name] = other.member.name;
         daemon.isDown = true;
-        this->gone.push_back(daemon.member.name);
-        // Gossip tells it before the agreed record does.
-        for (Daemon& told : this->daemons) {
-          told.lists.handedTo[daemon.member.name] = other.member.name;
+        this->removedMembers.push_back(daemon.member.name);
+        // Gossip spreads the handover before the agreed lists contain it.
+        for (Daemon& receiver : this->daemons) {
+          receiver.lists.handedTo[daemon.member.name] = other.member.name;
         }
         this->AddDaemon(daemon.member.failureDomain[1] - '0');
         return;
@@ -267,7 +267,7 @@
     }
   }
 
-  void Learn(std::size_t aDaemon) {
+  void ReceiveAgreedLists(std::size_t aDaemon) {
     Daemon& daemon = this->daemons[aDaemon % this->daemons.size()];
     if (this->agreed.version > daemon.lists.version) {
       daemon.lists = this->agreed;
@@ -276,14 +276,14 @@
 
   FakeClock clock;
   std::vector<Daemon> daemons;
-  std::vector<Flight> flights;
+  std::vector<Message> messages;
   std::map<std::uint64_t, Round> rounds;
   std::uint64_t lastRound = 0;
   std::map<std::string, Instant> ranAt;
-  std::vector<std::string> gone;
+  std::vector<std::string> removedMembers;
   std::map<std::string, std::string> handedTo;
   MemberLists agreed;
-  std::vector<MemberListPlanner> keepers{
+  std::vector<MemberListPlanner> planners{
       kDomains, MemberListPlanner(MemberListPlannerSettings{})};
   int startTimeMs = 0;
   int runs = 0;
@@ -291,7 +291,7 @@
 
 using Base = rc::state::Command<ClaimModel, ClaimWorld>;
 
-/// What happens next; one command with a kind keeps the weights in sight.
+/// The next event. One command with a kind keeps the weights in one place.
 struct WorldStep : Base {
   int kind = *rc::gen::weightedElement<int>({{10, 0},
                                              {60, 1},
@@ -304,46 +304,46 @@
                                              {3, 8},
                                              {5, 9},
                                              {2, 10}});
-  std::size_t which = *rc::gen::inRange<std::size_t>(0, 1000);
+  std::size_t selector = *rc::gen::inRange<std::size_t>(0, 1000);
   int key = *rc::gen::inRange(0, kKeys);
   int seconds = *rc::gen::element(0, 1, 10, 120, 400);
 
   void run(const ClaimModel&, ClaimWorld& aWorld) const override {
     switch (this->kind) {
       case 0:
-        aWorld.Begin(this->which, this->key);
+        aWorld.StartClaim(this->selector, this->key);
         break;
       case 1:
-        aWorld.Deliver(this->which, false);
+        aWorld.Deliver(this->selector, false);
         break;
       case 2:
-        // Delivered twice.
-        aWorld.Deliver(this->which, true);
+        // Delivered, and kept for a second delivery.
+        aWorld.Deliver(this->selector, true);
         break;
       case 3:
-        if (!aWorld.flights.empty()) {
-          aWorld.flights.erase(
-              aWorld.flights.begin() +
-              static_cast<std::ptrdiff_t>(this->which % aWorld.flights.size()));
+        if (!aWorld.messages.empty()) {
+          aWorld.messages.erase(aWorld.messages.begin() +
+                                static_cast<std::ptrdiff_t>(
+                                    this->selector % aWorld.messages.size()));
         }
         break;
       case 4:
-        aWorld.TimeOut(this->which);
+        aWorld.TimeOut(this->selector);
         break;
       case 5:
-        aWorld.Finish(this->which);
+        aWorld.Finish(this->selector);
         break;
       case 6:
-        aWorld.Crash(this->which);
+        aWorld.Crash(this->selector);
         break;
       case 7:
-        aWorld.HandOver(this->which);
+        aWorld.HandOver(this->selector);
         break;
       case 8:
-        aWorld.Agree();
+        aWorld.UpdateAgreedLists();
         break;
       case 9:
-        aWorld.Learn(this->which);
+        aWorld.ReceiveAgreedLists(this->selector);
         break;
       default:
         aWorld.clock.Advance(FromSeconds(this->seconds));
@@ -351,7 +351,7 @@
     }
   }
   void show(std::ostream& aOut) const override {
-    aOut << "Step(" << this->kind << "," << this->which << "," << this->key
+    aOut << "Step(" << this->kind << "," << this->selector << "," << this->key
          << "," << this->seconds << ")";
   }
 };
@@ -370,7 +370,7 @@
                        rc::state::gen::execOneOfWithArgs<WorldStep>());
       runs += world.runs;
     }));
-    // Claims are won at all, else the rule would hold for nothing.
+    // Some claims are won; otherwise the invariant would hold trivially.
     CPPUNIT_ASSERT(runs > 20);
   }
 };
--- a/FuzzTests/ConfigurationFuzz.cpp
+++ b/FuzzTests/ConfigurationFuzz.cpp
@@ -1,7 +1,7 @@
 #include "Zincstep/Config/Config.h"
 
-/// Whatever an operator's file holds, parsing ends, and a valid one is the
-/// same after it was cut into pieces and put together.
+/// Parsing any file terminates, and a valid configuration is unchanged after it
+/// was split into pieces and joined again.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* aData,
                                       std::size_t aSize) {
   const std::string text(reinterpret_cast<const char*>(aData), aSize);
--- a/FuzzTests/EngineLineFuzz.cpp
+++ b/FuzzTests/EngineLineFuzz.cpp
@@ -1,6 +1,6 @@
 #include "Zincstep/Engine/Engine.h"
 
-/// Whatever an engine sends is refused or read.
+/// Any data from an engine is either rejected or parsed.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* aData,
                                       std::size_t aSize) {
   const std::string_view text(reinterpret_cast<const char*>(aData), aSize);
--- a/FuzzTests/LeaseStateTest.cpp
+++ b/FuzzTests/LeaseStateTest.cpp
@@ -11,26 +11,26 @@
 namespace zincstep {
 namespace {
 
-constexpr std::size_t kHolders = 3;
+constexpr std::size_t kContenders = 3;
 constexpr Micros kTtl = 9s;
-/// Longest flight of an order that was sent in time.
-constexpr Micros kFlight = 1500ms;
-constexpr const char* kDuty = "duty/d";
+/// Maximum delivery time of an order that was sent in time.
+constexpr Micros kMaxFlightTime = 1500ms;
+constexpr const char* kLeaderKey = "duty/d";
 
 struct LeaseModel {};
 
-/// An order on its way to an upstream.
-struct OrderFlight {
+/// An order in flight to an upstream.
+struct InFlightOrder {
   std::uint64_t fence = 0;
   std::string version;
   std::string expected;
-  Instant lands;
+  Instant arrivesAt;
 };
 
-/// Daemons that contend for a duty, and upstreams that take orders.
+/// Daemons that contend for leadership, and upstreams that receive orders.
 class LeaseWorld {
  public:
-  struct Holder {
+  struct Contender {
     LeaseGuard guard{LeaseGuardSettings{kTtl, kTtl / 3}};
     LeaseId lease = 0;
     Instant leaderSince;
@@ -44,121 +44,127 @@
 
   LeaseWorld() { this->upstreams[1].checksFence = true; }
 
-  void Take(std::size_t aHolder, bool aAnswerLost) {
-    Holder& holder = this->holders[aHolder];
+  void TryAcquire(std::size_t aContender, bool aIsResponseLost) {
+    Contender& contender = this->contenders[aContender];
     const Instant sentAt = this->clock.Now();
-    if (holder.guard.IsHeld(sentAt) || this->memory.Get(kDuty)) {
+    if (contender.guard.IsHeld(sentAt) || this->memory.Get(kLeaderKey)) {
       return;
     }
-    const std::string name = std::to_string(aHolder);
-    holder.lease = this->memory.GrantLease(kTtl);
+    const std::string name = std::to_string(aContender);
+    contender.lease = this->memory.GrantLease(kTtl);
     this->clock.Advance(this->latency);
     const auto swapped =
-        this->memory.CompareAndSwap(kDuty, 0, name, holder.lease);
-    const auto found = this->memory.Get(kDuty);
-    const bool mine = found && found->value == name;
-    if (aAnswerLost ? mine : swapped.has_value()) {
-      holder.guard.OnLeaseAcquired(found->revision, sentAt);
-      holder.leaderSince = sentAt;
+        this->memory.CompareAndSwap(kLeaderKey, 0, name, contender.lease);
+    const auto found = this->memory.Get(kLeaderKey);
+    const bool isOwn = found && found->value == name;
+    if (aIsResponseLost ? isOwn : swapped.has_value()) {
+      contender.guard.OnLeaseAcquired(found->revision, sentAt);
+      contender.leaderSince = sentAt;
     }
   }
 
-  void Renew(std::size_t aHolder) {
-    Holder& holder = this->holders[aHolder];
+  void Renew(std::size_t aContender) {
+    Contender& contender = this->contenders[aContender];
     const Instant sentAt = this->clock.Now();
-    if (!holder.guard.IsHeld(sentAt)) {
+    if (!contender.guard.IsHeld(sentAt)) {
       return;
     }
     this->clock.Advance(this->latency);
-    if (this->memory.RenewLease(holder.lease)) {
-      holder.guard.OnRenewed(sentAt);
+    if (this->memory.RenewLease(contender.lease)) {
+      contender.guard.OnRenewed(sentAt);
     } else {
-      holder.guard.OnLeaseLost();
+      contender.guard.OnLeaseLost();
     }
   }
 
-  /// The holder orders `aVersion`, after a pause between check and send.
-  void Order(std::size_t aHolder, std::size_t aUpstream, bool aPaused) {
-    Holder& holder = this->holders[aHolder];
+  /// Sends an order for the declared version if the contender is leader;
+  /// `aIsPaused`: the process pauses between the check and the send.
+  void SendOrder(std::size_t aContender, std::size_t aUpstream,
+                 bool aIsPaused) {
+    Contender& contender = this->contenders[aContender];
     Upstream& upstream = this->upstreams[aUpstream];
     const Instant now = this->clock.Now();
-    const bool waitsOut =
-        !upstream.checksFence && now - holder.leaderSince < kTtl + kFlight;
-    if (!holder.guard.MayIssueOrders(now) || waitsOut) {
+    const bool mustWait = !upstream.checksFence &&
+                          now - contender.leaderSince < kTtl + kMaxFlightTime;
+    if (!contender.guard.MayIssueOrders(now) || mustWait) {
       return;
     }
-    // Whoever may act holds the lease by the service's own clock too.
-    const auto duty = this->memory.Get(kDuty);
-    RC_ASSERT(duty && duty->revision == holder.guard.Fence());
-    const Micros late = aPaused ? Micros(60s) : kFlight;
-    this->flights.push_back({holder.guard.Fence(),
-                             "v" + std::to_string(this->declared),
-                             upstream.version, now + late});
+    // A contender that may issue orders also holds the lease by the store's
+    // clock.
+    const auto leaderItem = this->memory.Get(kLeaderKey);
+    RC_ASSERT(leaderItem && leaderItem->revision == contender.guard.Fence());
+    const Micros delay = aIsPaused ? Micros(60s) : kMaxFlightTime;
+    this->ordersInFlight.push_back({contender.guard.Fence(),
+                                    "v" + std::to_string(this->declaredVersion),
+                                    upstream.version, now + delay});
     this->targets.push_back(aUpstream);
   }
 
-  void Land() {
+  void DeliverOrders() {
     const Instant now = this->clock.Now();
-    for (std::size_t i = 0; i < this->flights.size();) {
-      if (this->flights[i].lands > now) {
+    for (std::size_t i = 0; i < this->ordersInFlight.size();) {
+      if (this->ordersInFlight[i].arrivesAt > now) {
         ++i;
         continue;
       }
       Upstream& upstream = this->upstreams[this->targets[i]];
-      const OrderFlight order = this->flights[i];
-      const bool isOld = order.fence < upstream.highestFence;
-      const bool refused = upstream.checksFence && isOld;
-      if (!refused && order.expected == upstream.version) {
+      const InFlightOrder order = this->ordersInFlight[i];
+      const bool isStale = order.fence < upstream.highestFence;
+      const bool isRejected = upstream.checksFence && isStale;
+      if (!isRejected && order.expected == upstream.version) {
         upstream.version = order.version;
         upstream.lastFence = order.fence;
-        RC_ASSERT(!(upstream.checksFence && isOld));
+        RC_ASSERT(!(upstream.checksFence && isStale));
       }
       upstream.highestFence = std::max(upstream.highestFence, order.fence);
-      const auto at = static_cast<std::ptrdiff_t>(i);
-      this->flights.erase(this->flights.begin() + at);
-      this->targets.erase(this->targets.begin() + at);
+      const auto offset = static_cast<std::ptrdiff_t>(i);
+      this->ordersInFlight.erase(this->ordersInFlight.begin() + offset);
+      this->targets.erase(this->targets.begin() + offset);
     }
   }
 
-  /// From any state: with the faults over, what is declared comes to be.
+  /// From any state, once faults stop, all upstreams reach the declared
+  /// version.
   void CheckConverges() {
     this->latency = 10ms;
     this->clock.Advance(120s);
-    this->Land();
+    this->DeliverOrders();
     for (int round = 0; round < 40; ++round) {
-      for (std::size_t holder = 0; holder < kHolders; ++holder) {
-        this->Take(holder, false);
-        this->Renew(holder);
+      for (std::size_t contender = 0; contender < kContenders; ++contender) {
+        this->TryAcquire(contender, false);
+        this->Renew(contender);
         for (std::size_t i = 0; i < this->upstreams.size(); ++i) {
-          const std::string wanted = "v" + std::to_string(this->declared);
-          if (this->upstreams[i].version != wanted) {
-            this->Order(holder, i, false);
+          const std::string targetVersion =
+              "v" + std::to_string(this->declaredVersion);
+          if (this->upstreams[i].version != targetVersion) {
+            this->SendOrder(contender, i, false);
           }
         }
       }
       this->clock.Advance(1s);
-      this->Land();
+      this->DeliverOrders();
     }
     for (const Upstream& upstream : this->upstreams) {
-      RC_ASSERT(upstream.version == "v" + std::to_string(this->declared));
+      RC_ASSERT(upstream.version ==
+                "v" + std::to_string(this->declaredVersion));
     }
   }
 
   FakeClock clock;
   standins::MemoryStore memory{this->clock};
-  std::vector<Holder> holders = std::vector<Holder>(kHolders);
+  std::vector<Contender> contenders = std::vector<Contender>(kContenders);
   std::vector<Upstream> upstreams = std::vector<Upstream>(2);
-  std::vector<OrderFlight> flights;
+  std::vector<InFlightOrder> ordersInFlight;
   std::vector<std::size_t> targets;
   Micros latency = 10ms;
-  int declared = 1;
+  int declaredVersion = 1;
 };
 
 using Base = rc::state::Command<LeaseModel, LeaseWorld>;
 
 struct LeaseStep : Base {
   int kind = *rc::gen::inRange(0, 6);
-  std::size_t holder = *rc::gen::inRange<std::size_t>(0, kHolders);
+  std::size_t contender = *rc::gen::inRange<std::size_t>(0, kContenders);
   std::size_t upstream = *rc::gen::inRange<std::size_t>(0, 2);
   bool flag = *rc::gen::arbitrary<bool>();
   int millis = *rc::gen::element(10, 500, 2000, 5000, 9500, 60000);
@@ -166,39 +172,39 @@
   void run(const LeaseModel&, LeaseWorld& aWorld) const override {
     switch (this->kind) {
       case 0:
-        aWorld.Take(this->holder, this->flag);
+        aWorld.TryAcquire(this->contender, this->flag);
         break;
       case 1:
-        aWorld.Renew(this->holder);
+        aWorld.Renew(this->contender);
         break;
       case 2:
-        aWorld.Order(this->holder, this->upstream, this->flag);
+        aWorld.SendOrder(this->contender, this->upstream, this->flag);
         break;
       case 3:
         aWorld.clock.Advance(Micros{1000 * this->millis});
-        aWorld.Land();
+        aWorld.DeliverOrders();
         break;
       case 4:
         aWorld.latency = Micros{std::min(1000 * this->millis, 3000000)};
         break;
       default:
-        aWorld.declared += 1;
+        aWorld.declaredVersion += 1;
         break;
     }
   }
   void show(std::ostream& aOut) const override {
-    aOut << "Step(" << this->kind << "," << this->holder << ","
+    aOut << "Step(" << this->kind << "," << this->contender << ","
          << this->upstream << "," << this->flag << "," << this->millis << ")";
   }
 };
 
 class LeaseStateTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LeaseStateTest);
-  CPPUNIT_TEST(Orders_PausesAndLapses_NoneOfAStaleHolderLasts);
+  CPPUNIT_TEST(Orders_PausesAndExpiredLeases_NoStaleOrderPersists);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void Orders_PausesAndLapses_NoneOfAStaleHolderLasts() {
+  void Orders_PausesAndExpiredLeases_NoStaleOrderPersists() {
     CPPUNIT_ASSERT(CheckState("leases", [] {
       LeaseWorld world;
       rc::state::check(LeaseModel{}, world,
--- a/FuzzTests/PeerMessageFuzz.cpp
+++ b/FuzzTests/PeerMessageFuzz.cpp
@@ -1,6 +1,7 @@
 #include "Zincstep/Peer/Peer.h"
 
-/// Whatever a peer sends is refused, or read and written again.
+/// Any data from a peer is either rejected or parsed, and a parsed message can
+/// be encoded and parsed again.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* aData,
                                       std::size_t aSize) {
   const std::string_view bytes(reinterpret_cast<const char*>(aData), aSize);
--- a/FuzzTests/StateCheck.h
+++ b/FuzzTests/StateCheck.h
@@ -7,10 +7,11 @@
 
 namespace zincstep {
 
-/// Checks a property with a fixed seed, so that a run repeats exactly.
+/// Checks a property with a fixed seed, so that runs are reproducible; returns
+/// whether it holds.
 ///
-/// ZINCSTEP_FUZZ_RUNS and ZINCSTEP_FUZZ_SEED set the number of runs and the
-/// seed for long runs; RapidCheck prints the shrunk commands of a failure.
+/// ZINCSTEP_FUZZ_RUNS and ZINCSTEP_FUZZ_SEED override the number of runs and
+/// the seed; RapidCheck prints the shrunk commands of a failure.
 template <class Property>
 bool CheckState(const std::string& aName, Property aProperty) {
   const char* runs = std::getenv("ZINCSTEP_FUZZ_RUNS");
--- a/FuzzTests/StoreRestoreTest.cpp
+++ b/FuzzTests/StoreRestoreTest.cpp
@@ -14,31 +14,32 @@
 
 constexpr std::size_t kDaemons = 3;
 constexpr int kUpstreams = 4;
-/// What was written since the copy is written again within this.
-constexpr Micros kWrittenAgain = 1s;
-/// The operators' bound on withdrawn keys, as the daemons look at their proofs.
-constexpr Micros kLongestProof = 4700ms;
-constexpr Micros kRevocation = 5s;
+/// Writes lost in a restore are repeated after this time.
+constexpr Micros kRewriteDelay = 1s;
+/// Maximum validation age at which a daemon accepts keys, and the operators'
+/// bound on how long a revoked key may be accepted.
+constexpr Micros kMaxValidationAge = 4700ms;
+constexpr Micros kKeyRevocation = 5s;
 constexpr const char* kConfigKey = "config";
 
-/// What a history consists of.
+/// Kinds of steps in a history.
 enum class Step {
   WriteConfiguration,
   ChangeUpstream,
   RemoveUpstream,
-  LoseStore,
-  RestoreCopy,
-  Pass,
+  ToggleOutage,
+  BackupOrRestore,
+  AdvanceTime,
   ReadLists,
-  Check,
-  AskPeer,
+  Validate,
+  SyncFromPeer,
   RestartDaemon,
-  DeliverLate,
+  DeliverDelayed,
 };
 constexpr int kSteps = 11;
 
-struct Move {
-  Step step = Step::Pass;
+struct Action {
+  Step step = Step::AdvanceTime;
   int argument = 0;
 };
 
@@ -47,45 +48,45 @@
          R"(,"routes":[],"services":[]})";
 }
 
-std::string EntryText(const std::string& aId, bool aIsLeaving, int aSlots) {
+std::string EntryText(const std::string& aId, bool aIsDraining, int aSlots) {
   return R"({"backend":"s","address":"10.0.0.)" + aId.substr(1) +
          R"(:80","zone":"a","slots":)" + std::to_string(aSlots) +
-         R"(,"state":")" + (aIsLeaving ? "draining" : "ready") +
+         R"(,"state":")" + (aIsDraining ? "draining" : "ready") +
          R"(","born":1})";
 }
 
-/// The store, its copies, and who writes again what a copy lacks.
-class Oracle {
+/// The store, its backup, and the writers that repeat writes lost in a restore.
+class StoreModel {
  public:
-  explicit Oracle(const FakeClock& aClock) : clock(aClock) {
+  explicit StoreModel(const FakeClock& aClock) : clock(aClock) {
     this->Write(kConfigKey, ConfigText(1));
-    this->TakeCopy();
+    this->TakeBackup();
   }
 
   void Write(const std::string& aKey, const std::string& aValue) {
-    this->wanted[aKey] = aValue;
+    this->writtenValues[aKey] = aValue;
     this->revision.number += 1;
     this->items[aKey] = {aKey, aValue, this->revision};
   }
   void Remove(const std::string& aKey) {
-    this->wanted.erase(aKey);
+    this->writtenValues.erase(aKey);
     if (this->items.erase(aKey) > 0) {
       this->revision.number += 1;
     }
   }
-  void TakeCopy() {
-    this->copy = this->items;
-    this->copyRevision = this->revision;
+  void TakeBackup() {
+    this->backup = this->items;
+    this->backupRevision = this->revision;
   }
   void Restore() {
-    this->items = this->copy;
-    this->revision = {this->copyRevision.number, this->revision.era + 1};
+    this->items = this->backup;
+    this->revision = {this->backupRevision.number, this->revision.era + 1};
     for (auto& [key, item] : this->items) {
       item.revision.era = this->revision.era;
     }
-    this->rewriteAt = this->clock.Now() + kWrittenAgain;
+    this->rewriteAt = this->clock.Now() + kRewriteDelay;
   }
-  /// What the copy lacks is written again where it is time.
+  /// Repeats the writes that the backup lacks, once they are due.
   void Tick() {
     if (!this->rewriteAt || this->clock.Now() < *this->rewriteAt) {
       return;
@@ -95,7 +96,7 @@
     for (const auto& [key, item] : this->items) {
       keys.insert(key);
     }
-    for (const auto& [key, value] : std::map(this->wanted)) {
+    for (const auto& [key, value] : std::map(this->writtenValues)) {
       keys.erase(key);
       if (!this->items.contains(key) || this->items[key].value != value) {
         this->Write(key, value);
@@ -117,19 +118,19 @@
   StoreItem Configuration() const { return this->items.at(kConfigKey); }
   StoreRevision Revision() const { return this->revision; }
 
-  bool isAway = false;
+  bool isDown = false;
 
  private:
   const FakeClock& clock;
   StoreItems items;
-  StoreItems copy;
-  std::map<std::string, std::string> wanted;
+  StoreItems backup;
+  std::map<std::string, std::string> writtenValues;
   StoreRevision revision{0, 1};
-  StoreRevision copyRevision;
+  StoreRevision backupRevision;
   std::optional<Instant> rewriteAt;
 };
 
-/// One life of a daemon.
+/// One daemon process, from start to restart.
 struct Daemon final : public std::enable_shared_from_this<Daemon>,
                       private ClusterListener {
   Daemon(const ClusterDecoder& aDecoder, const FakeClock& aClock)
@@ -145,88 +146,88 @@
 
   StoreEraTracker eras;
   ClusterView view;
-  std::uint64_t highest = 0;
-  /// When the store first answered in this life.
-  std::optional<Instant> lastSeenAt;
+  std::uint64_t highestVersion = 0;
+  /// When a store response was first accepted in this process.
+  std::optional<Instant> firstResponseAt;
 };
 
-class World {
+class RestoreWorld {
  public:
-  World() {
+  RestoreWorld() {
     this->clock.Advance(100s);
     for (std::size_t i = 0; i < kDaemons; ++i) {
       this->Start(i);
     }
   }
 
-  void Do(const Move& aMove) {
-    const auto pick = static_cast<std::size_t>(aMove.argument);
-    const std::string id = "i" + std::to_string(aMove.argument % kUpstreams);
+  void Apply(const Action& aAction) {
+    const auto pick = static_cast<std::size_t>(aAction.argument);
+    const std::string id = "i" + std::to_string(aAction.argument % kUpstreams);
     Daemon& daemon = *this->daemons[pick % kDaemons];
-    switch (aMove.step) {
+    switch (aAction.step) {
       case Step::WriteConfiguration:
-        if (!this->oracle.isAway) {
+        if (!this->store.isDown) {
           this->version += 1 + pick % 3;
-          this->oracle.Write(kConfigKey, ConfigText(this->version));
-          this->acknowledged[this->version] = this->clock.Now();
+          this->store.Write(kConfigKey, ConfigText(this->version));
+          this->writtenAt[this->version] = this->clock.Now();
         }
         break;
       case Step::ChangeUpstream:
-        this->Change(id, aMove.argument);
+        this->Change(id, aAction.argument);
         break;
       case Step::RemoveUpstream:
-        if (!this->oracle.isAway) {
-          this->oracle.Remove(id);
-          this->leaving.erase(id);
+        if (!this->store.isDown) {
+          this->store.Remove(id);
+          this->draining.erase(id);
         }
         break;
-      case Step::LoseStore:
-        this->oracle.isAway = !this->oracle.isAway;
+      case Step::ToggleOutage:
+        this->store.isDown = !this->store.isDown;
         break;
-      case Step::RestoreCopy:
-        pick % 2 == 0 ? this->oracle.TakeCopy() : this->oracle.Restore();
+      case Step::BackupOrRestore:
+        pick % 2 == 0 ? this->store.TakeBackup() : this->store.Restore();
         break;
-      case Step::Pass:
-        this->Pass(Micros{50'000} * (1 + aMove.argument));
+      case Step::AdvanceTime:
+        this->AdvanceTime(Micros{50'000} * (1 + aAction.argument));
         break;
       case Step::ReadLists:
         this->Read(daemon);
         break;
-      case Step::Check:
-        this->Check(daemon);
+      case Step::Validate:
+        this->Validate(daemon);
         break;
-      case Step::AskPeer:
-        this->Ask(daemon, *this->daemons[(pick / kDaemons) % kDaemons]);
+      case Step::SyncFromPeer:
+        this->Sync(daemon, *this->daemons[(pick / kDaemons) % kDaemons]);
         break;
       case Step::RestartDaemon:
         this->Restart(pick % kDaemons);
         break;
-      case Step::DeliverLate:
-        this->Deliver();
+      case Step::DeliverDelayed:
+        this->FlushDelayed();
         break;
     }
-    this->CheckAll();
+    this->CheckInvariants();
   }
 
-  /// Everything heals: all daemons believe what the store has.
-  void Settle() {
-    this->oracle.isAway = false;
-    this->Pass(kWrittenAgain + 100ms);
+  /// After all faults have ended, all daemons agree with the store.
+  void CheckConverges() {
+    this->store.isDown = false;
+    this->AdvanceTime(kRewriteDelay + 100ms);
     for (int round = 0; round < 3; ++round) {
       for (const auto& daemon : this->daemons) {
-        this->Check(*daemon);
+        this->Validate(*daemon);
         this->Read(*daemon);
       }
       for (const auto& daemon : this->daemons) {
         for (const auto& other : this->daemons) {
-          this->Ask(*daemon, *other);
+          this->Sync(*daemon, *other);
         }
       }
-      this->Pass(2500ms);
-      this->CheckAll();
+      this->AdvanceTime(2500ms);
+      this->CheckInvariants();
     }
     for (const auto& daemon : this->daemons) {
-      const StoreRange range = this->oracle.Upstreams();
+      const StoreRange range = this->store.Upstreams();
       RC_ASSERT(daemon->view.Directory().All().size() == range.items.size());
       for (const StoreItem& item : range.items) {
         RC_ASSERT(daemon->view.Directory().Find(item.key) != nullptr);
@@ -245,147 +246,153 @@
         std::make_shared<Daemon>(*this->decoder, this->clock);
   }
 
-  /// Another daemon that lives is heard before the store is believed.
+  /// Restarts a daemon, which queries its live peers before it trusts the
+  /// store.
   void Restart(std::size_t aIndex) {
     this->Start(aIndex);
     Daemon& daemon = *this->daemons[aIndex];
     daemon.view.AwaitPeers(this->clock.Now() + 600ms);
     for (const auto& other : this->daemons) {
       if (other.get() != &daemon) {
-        this->Ask(daemon, *other);
+        this->Sync(daemon, *other);
       }
     }
     daemon.view.OnPeersResponded();
   }
 
   void Change(const std::string& aId, int aArgument) {
-    if (this->oracle.isAway) {
+    if (this->store.isDown) {
       return;
     }
-    // Who has announced its end does not take that back.
-    const bool leaves = this->leaving.contains(aId) || aArgument % 5 == 4;
-    if (leaves) {
-      this->leaving.insert(aId);
+    // An upstream that has started draining does not revert that.
+    const bool isDraining = this->draining.contains(aId) || aArgument % 5 == 4;
+    if (isDraining) {
+      this->draining.insert(aId);
     }
-    this->oracle.Write(aId, EntryText(aId, leaves, 1 + aArgument));
+    this->store.Write(aId, EntryText(aId, isDraining, 1 + aArgument));
   }
 
-  void Pass(Micros aSpan) {
+  void AdvanceTime(Micros aSpan) {
     for (Micros passed{0}; passed < aSpan; passed += 50ms) {
       this->clock.Advance(50ms);
-      this->oracle.Tick();
+      this->store.Tick();
       for (const auto& daemon : this->daemons) {
         daemon->view.Tick();
       }
     }
   }
 
-  /// Takes an answer as the adapter does: only if it may be believed.
-  void Answer(Daemon& aDaemon, std::optional<std::uint64_t> aAsked,
-              std::uint64_t aEra, const std::function<void()>& aTake) {
-    if (aDaemon.eras.Accepts(aAsked, aEra)) {
-      aDaemon.lastSeenAt = aDaemon.lastSeenAt.value_or(this->clock.Now());
-      aTake();
+  /// Applies a store response as the adapter does: only if its era is accepted.
+  void ApplyResponse(Daemon& aDaemon, std::optional<std::uint64_t> aRequestEra,
+                     std::uint64_t aEra, const std::function<void()>& aApply) {
+    if (aDaemon.eras.Accepts(aRequestEra, aEra)) {
+      aDaemon.firstResponseAt =
+          aDaemon.firstResponseAt.value_or(this->clock.Now());
+      aApply();
     }
   }
 
   void Read(Daemon& aDaemon) {
-    if (this->oracle.isAway) {
+    if (this->store.isDown) {
       return;
     }
-    const StoreRange range = this->oracle.Upstreams();
-    const auto asked = aDaemon.eras.CurrentEra();
-    this->late.push_back([this, life = aDaemon.weak_from_this(), range, asked] {
-      if (const auto daemon = life.lock()) {
-        this->Answer(*daemon, asked, range.at.era,
-                     [&] { daemon->view.OnUpstreams(range); });
-      }
-    });
-    this->Answer(aDaemon, asked, range.at.era, [&] {
+    const StoreRange range = this->store.Upstreams();
+    const auto requestEra = aDaemon.eras.CurrentEra();
+    this->delayedResponses.push_back(
+        [this, weakDaemon = aDaemon.weak_from_this(), range, requestEra] {
+          if (const auto daemon = weakDaemon.lock()) {
+            this->ApplyResponse(*daemon, requestEra, range.at.era,
+                                [&] { daemon->view.OnUpstreams(range); });
+          }
+        });
+    this->ApplyResponse(aDaemon, requestEra, range.at.era, [&] {
       aDaemon.view.OnUpstreams(range);
       aDaemon.view.OnDaemons({{}, range.at});
     });
   }
 
-  void Check(Daemon& aDaemon) {
-    if (this->oracle.isAway) {
+  void Validate(Daemon& aDaemon) {
+    if (this->store.isDown) {
       return;
     }
-    const Instant began = this->clock.Now();
-    const StoreItem present = this->oracle.Configuration();
-    this->Answer(aDaemon, aDaemon.eras.CurrentEra(), present.revision.era, [&] {
-      aDaemon.view.OnConfiguration(present);
-      aDaemon.view.OnValidated(present.revision, began);
-    });
+    const Instant startedAt = this->clock.Now();
+    const StoreItem current = this->store.Configuration();
+    this->ApplyResponse(aDaemon, aDaemon.eras.CurrentEra(),
+                        current.revision.era, [&] {
+                          aDaemon.view.OnConfiguration(current);
+                          aDaemon.view.OnValidated(current.revision, startedAt);
+                        });
   }
 
-  void Ask(Daemon& aDaemon, Daemon& aPeer) {
+  void Sync(Daemon& aDaemon, Daemon& aPeer) {
     if (&aDaemon == &aPeer) {
       return;
     }
     aPeer.eras.OnPeerReport(aDaemon.eras.CurrentEra().value_or(0));
     const std::uint64_t era = aPeer.eras.CurrentEra().value_or(0);
-    const ClusterUpdate copy = aPeer.view.UpdateFor(aDaemon.view.Revisions());
+    const ClusterUpdate update = aPeer.view.UpdateFor(aDaemon.view.Revisions());
     aDaemon.eras.OnPeerReport(era);
     if (era == aDaemon.eras.CurrentEra()) {
-      aDaemon.view.OnUpdate(copy, this->clock.Now());
+      aDaemon.view.OnUpdate(update, this->clock.Now());
     }
   }
 
-  /// An answer from long ago comes at last.
-  void Deliver() {
+  /// Delivers all delayed store responses.
+  void FlushDelayed() {
     std::vector<std::function<void()>> all;
-    all.swap(this->late);
-    for (const auto& answer : all) {
-      answer();
+    all.swap(this->delayedResponses);
+    for (const auto& deliver : all) {
+      deliver();
     }
   }
 
-  void CheckAll() {
+  void CheckInvariants() {
     const Instant now = this->clock.Now();
     for (const auto& daemon : this->daemons) {
-      const std::uint64_t inForce = daemon->view.ConfigVersion();
-      RC_ASSERT(inForce >= daemon->highest);
-      daemon->highest = inForce;
+      const std::uint64_t activeVersion = daemon->view.ConfigVersion();
+      RC_ASSERT(activeVersion >= daemon->highestVersion);
+      daemon->highestVersion = activeVersion;
       const auto age = daemon->view.ValidationAge();
-      if (!age || *age > kLongestProof) {
+      if (!age || *age > kMaxValidationAge) {
         continue;
       }
-      // A key that a later version has taken away would still be accepted. What
-      // the store had lost before it first answered nobody tells this daemon
-      // but peers that know better.
-      for (const auto& [version, at] : this->acknowledged) {
-        const bool isKnowable = daemon->lastSeenAt && at >= *daemon->lastSeenAt;
-        RC_ASSERT(!isKnowable || version <= inForce || now - at <= kRevocation);
+      // An older active version would still accept a key that a later version
+      // revoked. Versions that the store lost before its first response to this
+      // daemon can only be learnt from peers, so they are exempt.
+      for (const auto& [version, at] : this->writtenAt) {
+        const bool isObservable =
+            daemon->firstResponseAt && at >= *daemon->firstResponseAt;
+        RC_ASSERT(!isObservable || version <= activeVersion ||
+                  now - at <= kKeyRevocation);
       }
     }
   }
 
   FakeClock clock;
   std::unique_ptr<ClusterDecoder> decoder = platform::MakeDecoder();
-  Oracle oracle{this->clock};
+  StoreModel store{this->clock};
   std::vector<std::shared_ptr<Daemon>> daemons;
-  std::vector<std::function<void()>> late;
-  std::set<std::string> leaving;
+  std::vector<std::function<void()>> delayedResponses;
+  std::set<std::string> draining;
   std::uint64_t version = 1;
-  std::map<std::uint64_t, Instant> acknowledged;
+  std::map<std::uint64_t, Instant> writtenAt;
 };
 
 class StoreRestoreTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreRestoreTest);
-  CPPUNIT_TEST(Histories_WithRestores_KeepWhatMustHold);
+  CPPUNIT_TEST(Histories_WithRestores_PreserveInvariants);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void Histories_WithRestores_KeepWhatMustHold() {
+  void Histories_WithRestores_PreserveInvariants() {
     CPPUNIT_ASSERT(CheckState("restores of the store", [] {
       const auto numbers = *rc::gen::container<std::vector<int>>(
           rc::gen::inRange(0, kSteps * 20));
-      World world;
+      RestoreWorld world;
       for (const int number : numbers) {
-        world.Do({static_cast<Step>(number % kSteps), number / kSteps});
+        world.Apply({static_cast<Step>(number % kSteps), number / kSteps});
       }
-      world.Settle();
+      world.CheckConverges();
     }));
   }
 };
--- a/FuzzTests/StreamStateTest.cpp
+++ b/FuzzTests/StreamStateTest.cpp
@@ -14,17 +14,18 @@
 constexpr std::uint64_t kRequest = 77;
 constexpr int kLayers = 12;
 constexpr int kStages = 3;
-constexpr int kHolders = 3;
+constexpr int kReplicasPerStage = 3;
 constexpr int kMaxTokens = 24;
 
-/// Right token of a position.
-std::int32_t RightToken(int aPosition) { return 1000 + 7 * aPosition; }
+/// The correct token at a position.
+std::int32_t ExpectedToken(int aPosition) { return 1000 + 7 * aPosition; }
 
-/// Three stages with three holders each; a test takes holders away.
+/// Three stages with three replicas each; repairs fail while
+/// `hasNoCapacity` is set.
 class FakeRepairer final : public ChainRepairer {
  public:
-  static int ReplicaOf(int aStage, int aHolder) {
-    return aStage * kHolders + aHolder;
+  static int ReplicaOf(int aStage, int aIndex) {
+    return aStage * kReplicasPerStage + aIndex;
   }
 
   static Chain FirstChain() {
@@ -41,29 +42,31 @@
 
   Result<Chain> Repair(const Chain& aChain, const std::vector<bool>& aFailed,
                        Instant, bool) override {
-    if (this->empty) {
-      return Fail(ErrorKind::NoCapacity, "nobody");
+    if (this->hasNoCapacity) {
+      return Fail(ErrorKind::NoCapacity, "no replica available");
     }
     Chain next = aChain;
     for (std::size_t i = 0; i < aFailed.size(); ++i) {
       if (aFailed[i]) {
         const int stage = static_cast<int>(i);
-        const int holder = next.hops[i].replica % kHolders;
-        next.hops[i].replica = ReplicaOf(stage, (holder + 1) % kHolders);
+        const int index = next.hops[i].replica % kReplicasPerStage;
+        next.hops[i].replica =
+            ReplicaOf(stage, (index + 1) % kReplicasPerStage);
       }
     }
     return next;
   }
 
-  bool empty = false;
+  bool hasNoCapacity = false;
 };
 
-/// What the oracle knows: positions go up by one, and the end is one.
+/// RapidCheck's model; the invariants are checked by `CheckedStream`.
 struct StreamModel {
   bool isOver = false;
 };
 
-/// The machine with the checks of the rules on each of its actions.
+/// The stream machine with invariant checks on each of its actions: positions
+/// rise by one, and the stream ends once.
 class CheckedStream {
  public:
   CheckedStream() {
@@ -81,7 +84,7 @@
     event.request = kRequest;
     event.attempt = aAttempt;
     event.position = aPosition;
-    event.token = RightToken(aPosition);
+    event.token = ExpectedToken(aPosition);
     for (int stage = 0; stage < kStages; ++stage) {
       event.stages.push_back(
           {FakeRepairer::LayersOf(stage), 0us, 1000us, 200us});
@@ -102,7 +105,7 @@
         }
       } else if (const auto* emit = std::get_if<EmitToken>(&action)) {
         RC_ASSERT(emit->position == this->emitted);
-        RC_ASSERT(emit->token == RightToken(emit->position));
+        RC_ASSERT(emit->token == ExpectedToken(emit->position));
         this->emitted += 1;
       } else if (const auto* release = std::get_if<ReleaseStages>(&action)) {
         for (const int replica : release->replicas) {
@@ -112,7 +115,7 @@
         RC_ASSERT(fail->tokens == this->emitted);
         this->isOver = true;
       } else if (std::holds_alternative<FinishStream>(action)) {
-        // Whole, or not finished: never silently short.
+        // A stream finishes only when complete; it is never silently truncated.
         RC_ASSERT(this->emitted == kMaxTokens);
         this->isOver = true;
       }
@@ -120,7 +123,7 @@
     RC_ASSERT(this->machine->Tokens().size() ==
               static_cast<std::size_t>(this->emitted));
     if (this->machine->IsOver()) {
-      // Nothing is left behind on any upstream that had a part in it.
+      // No upstream that took part keeps state of the stream.
       RC_ASSERT(this->unreleased.empty());
     }
   }
@@ -136,14 +139,14 @@
 
 using Base = rc::state::Command<StreamModel, CheckedStream>;
 
-/// The next token of the present attempt, quick or slow.
+/// The next token of the current attempt, after a short or long time.
 struct NextToken : Base {
   int millis = *rc::gen::element(5, 20, 100, 400);
-  bool slowLink = *rc::gen::arbitrary<bool>();
+  bool isLinkSlow = *rc::gen::arbitrary<bool>();
   void run(const StreamModel&, CheckedStream& aSut) const override {
     aSut.clock.Advance(Micros{1000 * this->millis});
     TokenEvent event = aSut.Event(aSut.emitted, aSut.attempt);
-    if (this->slowLink && this->millis >= 100) {
+    if (this->isLinkSlow && this->millis >= 100) {
       event.stages[1].link = Micros{1000 * this->millis};
     }
     aSut.Check(aSut.machine->OnToken(event, aSut.clock.Now()));
@@ -153,7 +156,7 @@
   }
 };
 
-/// An event that must change nothing: late, doubled or another's.
+/// An event that must be ignored: stale, duplicated or of another request.
 struct WrongToken : Base {
   int kind = *rc::gen::inRange(0, 4);
   void run(const StreamModel&, CheckedStream& aSut) const override {
@@ -177,7 +180,8 @@
   }
 };
 
-/// A token ahead of its turn, or with a layer skipped, doubled or swapped.
+/// A token with a position too high, or with a stage skipped, duplicated or
+/// swapped.
 struct BrokenToken : Base {
   int kind = *rc::gen::inRange(0, 4);
   void run(const StreamModel&, CheckedStream& aSut) const override {
@@ -201,39 +205,39 @@
   }
 };
 
-/// A hop fails, by the present attempt's word or an earlier one's.
+/// A hop failure, reported for the current attempt or the one before.
 struct HopFails : Base {
   int stage = *rc::gen::inRange(-1, kStages);
-  bool isOld = *rc::gen::weightedElement<bool>({{4, false}, {1, true}});
+  bool isStale = *rc::gen::weightedElement<bool>({{4, false}, {1, true}});
   HopFailure failure = *rc::gen::element(HopFailure::Dead, HopFailure::Refused,
                                          HopFailure::CacheLost);
   void run(const StreamModel&, CheckedStream& aSut) const override {
-    const int attempt = aSut.attempt - (this->isOld ? 1 : 0);
+    const int attempt = aSut.attempt - (this->isStale ? 1 : 0);
     const int before = aSut.attempt;
     aSut.Check(aSut.machine->OnFailure(attempt, this->stage, this->failure,
                                        aSut.clock.Now()));
-    if (this->isOld) {
+    if (this->isStale) {
       RC_ASSERT(aSut.attempt == before);
     }
   }
   void show(std::ostream& aOut) const override {
-    aOut << "HopFails(" << this->stage << "," << this->isOld << ")";
+    aOut << "HopFails(" << this->stage << "," << this->isStale << ")";
   }
 };
 
-/// Time passes without a word of any stage.
+/// Time passes without a token; the stages respond to probes or not.
 struct TimePasses : Base {
   int millis = *rc::gen::element(10, 150, 300, 1000, 6000);
-  bool answers = *rc::gen::arbitrary<bool>();
+  bool doStagesRespond = *rc::gen::arbitrary<bool>();
   void run(const StreamModel&, CheckedStream& aSut) const override {
     aSut.clock.Advance(Micros{1000 * this->millis});
     StreamActions actions = aSut.machine->OnTimer(aSut.clock.Now());
-    const bool asked =
+    const bool hasProbed =
         std::any_of(actions.begin(), actions.end(), [](const auto& aOne) {
           return std::holds_alternative<ProbeStages>(aOne);
         });
     aSut.Check(actions);
-    if (asked && this->answers) {
+    if (hasProbed && this->doStagesRespond) {
       std::vector<StageProgress> progress(kStages, {true, false, false});
       progress[1].holdsStep = true;
       aSut.Check(aSut.machine->OnProgress(aSut.attempt, progress));
@@ -244,34 +248,34 @@
   }
 };
 
-/// All holders of some range go, or come back.
+/// All replicas become unavailable, or available again.
 struct Capacity : Base {
-  bool empty = *rc::gen::arbitrary<bool>();
+  bool hasNoCapacity = *rc::gen::arbitrary<bool>();
   void run(const StreamModel&, CheckedStream& aSut) const override {
-    aSut.repairer.empty = this->empty;
+    aSut.repairer.hasNoCapacity = this->hasNoCapacity;
   }
   void show(std::ostream& aOut) const override {
-    aOut << "Capacity(" << this->empty << ")";
+    aOut << "Capacity(" << this->hasNoCapacity << ")";
   }
 };
 
-/// The caller goes.
-struct CallerGoes : Base {
+/// The caller disconnects.
+struct CallerDisconnects : Base {
   void run(const StreamModel&, CheckedStream& aSut) const override {
     aSut.Check(aSut.machine->OnCallerDisconnected());
     aSut.isOver = true;
     RC_ASSERT(aSut.machine->IsOver());
   }
-  void show(std::ostream& aOut) const override { aOut << "CallerGoes"; }
+  void show(std::ostream& aOut) const override { aOut << "CallerDisconnects"; }
 };
 
 class StreamStateTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StreamStateTest);
-  CPPUNIT_TEST(Stream_AnyFaults_KeepsTheRules);
+  CPPUNIT_TEST(Stream_AnyFaults_PreservesInvariants);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void Stream_AnyFaults_KeepsTheRules() {
+  void Stream_AnyFaults_PreservesInvariants() {
     CPPUNIT_ASSERT(CheckState("stream", [] {
       CheckedStream stream;
       rc::state::check(
@@ -279,8 +283,8 @@
           rc::state::gen::execOneOfWithArgs<
               NextToken, NextToken, NextToken, NextToken, NextToken, NextToken,
               WrongToken, BrokenToken, HopFails, TimePasses, Capacity>());
-      // At the end the caller goes, wherever the stream stands.
-      CallerGoes().run(StreamModel{}, stream);
+      // Finally the caller disconnects, whatever the state of the stream.
+      CallerDisconnects().run(StreamModel{}, stream);
     }));
   }
 };
