--- a/Zincstep/Relay/Relay.cpp
+++ b/Zincstep/Relay/Relay.cpp
@@ -158,12 +158,12 @@
   const bool isConfigured = this->context.view.Table() != nullptr;
   std::vector<DeferredRequest> waiting;
   waiting.swap(this->deferred);
-  for (DeferredRequest& one : waiting) {
-    const Micros waited = aNow - one.message.readAt;
+  for (DeferredRequest& request : waiting) {
+    const Micros waited = aNow - request.message.readAt;
     if (isConfigured || waited >= this->context.settings.initialStateTimeout) {
-      this->OnRequest(one.connection, std::move(one.message));
+      this->OnRequest(request.connection, std::move(request.message));
     } else {
-      this->deferred.push_back(std::move(one));
+      this->deferred.push_back(std::move(request));
     }
   }
 }
@@ -229,11 +229,11 @@
         upstream->Entry(), this->context.settings.reportTimeout,
         [this, upstream](const Result<UpstreamReport>& aReport) {
           std::vector<std::shared_ptr<Exchange>> all;
-          for (auto& [key, one] : this->exchanges) {
-            all.push_back(one);
+          for (auto& [key, running] : this->exchanges) {
+            all.push_back(running);
           }
-          for (const auto& one : all) {
-            one->OnReport(upstream, aReport);
+          for (const auto& running : all) {
+            running->OnReport(upstream, aReport);
           }
         });
   }
--- a/Zincstep/Relay/StreamExchange.cpp
+++ b/Zincstep/Relay/StreamExchange.cpp
@@ -27,12 +27,12 @@
       splitter(this->request.info.lastEventId) {
   const TokenUse& use = this->request.info.tokens;
   const ModelShape& model = *this->request.service->model;
-  const double guess = use.guessedOut > 0
-                           ? use.guessedOut * kExpectedOutputShare
-                           : model.usualAnswer * kExpectedOutputShare;
-  const double most = use.maxOut > 0 ? use.maxOut : guess;
-  this->tokens =
-      (use.prompt > 0 ? use.prompt : model.usualPrompt) + std::min(guess, most);
+  const double estimate = use.guessedOut > 0
+                              ? use.guessedOut * kExpectedOutputShare
+                              : model.usualAnswer * kExpectedOutputShare;
+  const double maxTokens = use.maxOut > 0 ? use.maxOut : estimate;
+  this->tokens = (use.prompt > 0 ? use.prompt : model.usualPrompt) +
+                 std::min(estimate, maxTokens);
 }
 
 StreamExchange::~StreamExchange() { this->Release(); }
