--- a/SoakTests/SoakCaller.cpp
+++ b/SoakTests/SoakCaller.cpp
@@ -74,7 +74,7 @@
 ConnectionPoolSettings PoolSettings() {
   ConnectionPoolSettings settings;
   settings.maxIdleTime = kMaxIdleTime;
-  settings.keptShare = kMaxIdleShare;
+  settings.keepAliveShare = kMaxIdleShare;
   settings.quarantineTime = 0s;
   return settings;
 }
--- a/Zincstep/Net/ConnectionPool.cpp
+++ b/Zincstep/Net/ConnectionPool.cpp
@@ -71,8 +71,8 @@
   }
   Micros idleTime = this->settings.maxIdleTime;
   if (const auto timeout = KeepAliveTimeout(aHead)) {
-    idleTime = std::min(
-        idleTime, FromSeconds(ToSeconds(*timeout) * this->settings.keptShare));
+    idleTime = std::min(idleTime, FromSeconds(ToSeconds(*timeout) *
+                                              this->settings.keepAliveShare));
   }
   std::vector<IdleConnection>& connections = this->idleByUpstream[aUpstream];
   if (connections.size() < this->settings.maxIdleConnections) {
--- a/Zincstep/Net/ConnectionPool.h
+++ b/Zincstep/Net/ConnectionPool.h
@@ -19,7 +19,7 @@
   Micros maxIdleTime = 3s;
   /// Share of the upstream's `Keep-Alive` timeout, if it sends one, for which a
   /// connection is reused; close to the timeout, a close may be in flight.
-  double keptShare = 0.5;
+  double keepAliveShare = 0.5;
   /// Maximum idle connections per upstream, which accepts about 1000 from all
   /// daemons together. Streams start and end in random order: with 4, a quarter
   /// of the calls found no idle connection (run actas-lima quiet-1).
