--- a/Zincstep/Net/Answers.cpp
+++ b/Zincstep/Net/ErrorResponse.cpp
@@ -1,4 +1,4 @@
-#include "Zincstep/Net/Answers.h"
+#include "Zincstep/Net/ErrorResponse.h"
 
 #include <nlohmann/json.hpp>
 
--- a/Zincstep/Net/RefusingSocket.cpp
+++ b/Zincstep/Net/RefusingSocket.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "Zincstep/Net/Answers.h"
+#include "Zincstep/Net/ErrorResponse.h"
 
 namespace zincstep {
 
--- a/Zincstep/Net/RestinioServer.cpp
+++ b/Zincstep/Net/RestinioServer.cpp
@@ -3,7 +3,7 @@
 #include <thread>
 #include <unordered_map>
 
-#include "Zincstep/Net/Answers.h"
+#include "Zincstep/Net/ErrorResponse.h"
 #include "Zincstep/Net/HttpServer.h"
 #include "Zincstep/Net/RefusingSocket.h"
 
