--- a/Zincstep/Cluster/ClusterView.cpp
+++ b/Zincstep/Cluster/ClusterView.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 /// Live upstreams whose entries expired while the store was unreachable
-/// register again within about two seconds of its return (letter 2). Until then
-/// a missing entry does not mean that the upstream is gone.
+/// register again within about two seconds of its return. Until then a missing
+/// entry does not mean that the upstream is gone.
 constexpr Micros kReregistrationGrace = 2200ms;
 /// If at least this share of a failure domain's upstreams is missing from a
 /// peer's update, their entries have expired: so many do not leave at once.
