--- a/Client/Commands.cpp
+++ b/Client/Commands.cpp
@@ -136,7 +136,7 @@
     return text.str();
   }
   std::string all = aFile + " is not valid:";
-  for (const ConfigurationError& fault : parsed.faults) {
+  for (const ConfigurationError& fault : parsed.errors) {
     all += "\n  " + fault.Describe();
   }
   return Fail(ErrorKind::ConfigInvalid, all);
--- a/UnitTests/ConfigurationParserTest.cpp
+++ b/UnitTests/ConfigurationParserTest.cpp
@@ -37,7 +37,7 @@
 
   static bool HasFault(const ParsedConfiguration& aParsed,
                        const std::string& aPath, int aLine) {
-    return std::any_of(aParsed.faults.begin(), aParsed.faults.end(),
+    return std::any_of(aParsed.errors.begin(), aParsed.errors.end(),
                        [&](const ConfigurationError& aFault) {
                          return aFault.path == aPath && aFault.line == aLine;
                        });
@@ -71,14 +71,14 @@
 
   void Parse_BrokenYaml_IsOneFault() {
     const ParsedConfiguration parsed = ParseConfiguration("a: [1,\n b: }");
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, parsed.faults.size());
-    CPPUNIT_ASSERT(parsed.faults[0].line >= 1);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, parsed.errors.size());
+    CPPUNIT_ASSERT(parsed.errors[0].line >= 1);
   }
 
   void Parse_NotUtf8_IsAFault() {
     const ParsedConfiguration parsed =
         ParseConfiguration(std::string(kSmallFile) + "# \xB1\n");
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, parsed.faults.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, parsed.errors.size());
   }
 
   void Parse_KeyOfTwoOrganisations_IsAFault() {
--- a/Zincstep/Config/ConfigurationParser.cpp
+++ b/Zincstep/Config/ConfigurationParser.cpp
@@ -325,17 +325,17 @@
 ParsedConfiguration ParseConfiguration(const std::string& aYaml) {
   ParsedConfiguration parsed;
   if (!IsUtf8(aYaml)) {
-    parsed.faults.push_back({0, "", "text in UTF-8"});
+    parsed.errors.push_back({0, "", "text in UTF-8"});
     return parsed;
   }
   try {
-    YamlReader root(YAML::Load(aYaml), "", parsed.faults);
+    YamlReader root(YAML::Load(aYaml), "", parsed.errors);
     parsed.configuration = ParseRoot(root);
   } catch (const YAML::Exception& fault) {
-    parsed.faults.push_back({fault.mark.line + 1, "", "YAML: " + fault.msg});
+    parsed.errors.push_back({fault.mark.line + 1, "", "YAML: " + fault.msg});
     return parsed;
   }
-  ReferenceCheck(parsed.configuration, parsed.faults).Run();
+  ReferenceCheck(parsed.configuration, parsed.errors).Run();
   return parsed;
 }
 
--- a/Zincstep/Config/ConfigurationParser.h
+++ b/Zincstep/Config/ConfigurationParser.h
@@ -23,10 +23,10 @@
 /// A parsed file, or all of its faults together.
 struct ParsedConfiguration {
   Configuration configuration;
-  std::vector<ConfigurationError> faults;
+  std::vector<ConfigurationError> errors;
 
   /// Whether the file may be applied.
-  bool IsValid() const { return this->faults.empty(); }
+  bool IsValid() const { return this->errors.empty(); }
 };
 
 /// Parses and checks an operators' file in YAML.
--- a/Zincstep/Entry/Snapshot.cpp
+++ b/Zincstep/Entry/Snapshot.cpp
@@ -10,7 +10,7 @@
   }
   ParsedConfiguration parsed = ParseConfiguration(*yaml);
   if (!parsed.IsValid()) {
-    return Fail(ErrorKind::ConfigInvalid, parsed.faults.front().Describe());
+    return Fail(ErrorKind::ConfigInvalid, parsed.errors.front().Describe());
   }
   auto snapshot = std::make_shared<Snapshot>();
   snapshot->revision = aStored.root.revision;
