--- a/Client/Main.cpp
+++ b/Client/Main.cpp
@@ -32,8 +32,8 @@
                  "Address of the platform's services");
   reader.Address("daemon", settings.daemon, "Operators' address of a daemon");
   reader.Flag("json", settings.json, "Print JSON for scripts");
-  reader.Whole("base", settings.base, -1, INT64_MAX,
-               "Revision that the file was made from; -1 for any");
+  reader.Integer("base", settings.base, -1, INT64_MAX,
+                 "Revision that the file was made from; -1 for any");
   reader.Millis("wait-ms", settings.wait, 0, 3600000,
                 "Time to wait until it is in force everywhere");
   const auto words = zincstep::ReadOrExit(reader, aCount, aWords);
--- a/LoadTool/Main.cpp
+++ b/LoadTool/Main.cpp
@@ -15,13 +15,13 @@
                 "Seconds in which requests arrive");
   reader.Number("mean-tokens", settings.meanTokens, 0, 100000,
                 "Mean tokens of an answer; 0 for the most each time");
-  reader.Whole("most-tokens", settings.mostTokens, 1, 100000,
-               "Most tokens of an answer");
-  reader.Whole("prompt-bytes", settings.promptBytes, 1, 1000000,
-               "Bytes of a prompt");
-  reader.Whole("most-open", settings.mostOpen, 1, 100000,
-               "Requests open at a time");
-  reader.Whole("seed", settings.seed, 0, INT64_MAX, "Seed of the draws");
+  reader.Integer("most-tokens", settings.mostTokens, 1, 100000,
+                 "Most tokens of an answer");
+  reader.Integer("prompt-bytes", settings.promptBytes, 1, 1000000,
+                 "Bytes of a prompt");
+  reader.Integer("most-open", settings.mostOpen, 1, 100000,
+                 "Requests open at a time");
+  reader.Integer("seed", settings.seed, 0, INT64_MAX, "Seed of the draws");
   reader.Text("direct", settings.direct,
               "Engines to call without a daemon: address/first/last,...");
   zincstep::ReadOrExit(reader, aCount, aWords);
--- a/StandIns/EngineMain.cpp
+++ b/StandIns/EngineMain.cpp
@@ -19,20 +19,20 @@
   reader.Text("name", settings.name, "Name of this upstream");
   reader.Text("model", settings.model, "Model that it holds");
   reader.Text("model-version", settings.version, "Version that it holds");
-  reader.Whole("first-layer", first, 0, 4096, "First layer that it holds");
-  reader.Whole("last-layer", last, 1, 4096, "Layer behind its last one");
-  reader.Whole("layer-step-us", layerStep, 1, 10000000,
-               "Time of one layer of a step, in microseconds");
-  reader.Whole("slots", slots, 1, 4096, "Sequences in a batch");
-  reader.Whole("prefill-layer-ns", prefill, 1, 1000000000,
-               "Time to prefill a token through a layer, in nanoseconds");
+  reader.Integer("first-layer", first, 0, 4096, "First layer that it holds");
+  reader.Integer("last-layer", last, 1, 4096, "Layer behind its last one");
+  reader.Integer("layer-step-us", layerStep, 1, 10000000,
+                 "Time of one layer of a step, in microseconds");
+  reader.Integer("slots", slots, 1, 4096, "Sequences in a batch");
+  reader.Integer("prefill-layer-ns", prefill, 1, 1000000000,
+                 "Time to prefill a token through a layer, in nanoseconds");
   reader.Flag("checks-fence", settings.checksFence,
               "Refuse orders with an older fence");
   reader.Millis("load-ms", settings.loadTime, 0, 600000,
                 "Time to load a version");
   reader.Millis("load-lag-ms", settings.loadLag, 1, 600000,
                 "Age of the load that it reports");
-  reader.Whole("seed", seed, 0, INT64_MAX, "Seed of the faults");
+  reader.Integer("seed", seed, 0, INT64_MAX, "Seed of the faults");
   ReadOrExit(reader, aCount, aWords);
   settings.layers = {static_cast<int>(first), static_cast<int>(last)};
   settings.accelerator.layerStep = Micros{layerStep};
--- a/StandIns/PlatformMain.cpp
+++ b/StandIns/PlatformMain.cpp
@@ -12,7 +12,7 @@
   SettingsReader reader("standin-platform", "[flags]");
   reader.Address("listen", address, "Address to listen on");
   reader.Millis("vm-list-lag-ms", lag, 0, 600000, "Lag of the VM list");
-  reader.Whole("seed", seed, 0, INT64_MAX, "Seed of the faults");
+  reader.Integer("seed", seed, 0, INT64_MAX, "Seed of the faults");
   ReadOrExit(reader, aCount, aWords);
   standins::PlatformStandIn platform(address, lag,
                                      static_cast<std::uint64_t>(seed));
--- a/Zincstep/Entry/EntrySettings.cpp
+++ b/Zincstep/Entry/EntrySettings.cpp
@@ -21,10 +21,10 @@
               "trace, debug, info, warn, error or off");
   reader.Text("trace-file", settings.traceFile,
               "File for spans, - for stderr, empty for none");
-  reader.Whole("max-body-bytes", settings.maxBodyBytes, 1024, 1 << 30,
-               "Largest request body, in bytes");
-  reader.Whole("max-connections", settings.maxConnections, 1, 1000000,
-               "Connections of callers at a time");
+  reader.Integer("max-body-bytes", settings.maxBodyBytes, 1024, 1 << 30,
+                 "Largest request body, in bytes");
+  reader.Integer("max-connections", settings.maxConnections, 1, 1000000,
+                 "Connections of callers at a time");
   reader.Millis("read-timeout-ms", settings.readTimeout, 100, 600000,
                 "Time in which a request must have come whole");
   reader.Millis("default-deadline-ms", settings.defaultDeadline, 100, 300000,
@@ -51,10 +51,10 @@
                 "Life of the lease of the control duty");
   reader.Millis("member-list-ms", settings.memberListInterval, 100, 600000,
                 "Least time between two changes of the member lists");
-  reader.Whole("key-memory-mb", settings.keyMemoryMegabytes, 1, 65536,
-               "Memory for remembered idempotency keys, in MB");
-  reader.Whole("seed", settings.seed, 0, INT64_MAX,
-               "Seed of random choices; 0 takes one from the system");
+  reader.Integer("key-memory-mb", settings.keyMemoryMegabytes, 1, 65536,
+                 "Memory for remembered idempotency keys, in MB");
+  reader.Integer("seed", settings.seed, 0, INT64_MAX,
+                 "Seed of random choices; 0 takes one from the system");
   ReadOrExit(reader, aCount, aWords);
   return settings;
 }
--- a/Zincstep/Settings/SettingsReader.cpp
+++ b/Zincstep/Settings/SettingsReader.cpp
@@ -74,9 +74,9 @@
   };
 }
 
-void SettingsReader::Whole(const char* aName, std::int64_t& aTarget,
-                           std::int64_t aLow, std::int64_t aHigh,
-                           const char* aMeaning) {
+void SettingsReader::Integer(const char* aName, std::int64_t& aTarget,
+                             std::int64_t aLow, std::int64_t aHigh,
+                             const char* aMeaning) {
   Option option;
   option.name = aName;
   option.meaning = aMeaning;
--- a/Zincstep/Settings/SettingsReader.h
+++ b/Zincstep/Settings/SettingsReader.h
@@ -24,8 +24,8 @@
   void Text(const char* aName, std::string& aTarget, const char* aMeaning,
             bool aRequired = false);
   /// A whole number in [aLow, aHigh].
-  void Whole(const char* aName, std::int64_t& aTarget, std::int64_t aLow,
-             std::int64_t aHigh, const char* aMeaning);
+  void Integer(const char* aName, std::int64_t& aTarget, std::int64_t aLow,
+               std::int64_t aHigh, const char* aMeaning);
   /// A number in [aLow, aHigh].
   void Number(const char* aName, double& aTarget, double aLow, double aHigh,
               const char* aMeaning);
