--- a/UnitTests/ConfigurationParserTest.cpp
+++ b/UnitTests/ConfigurationParserTest.cpp
@@ -24,22 +24,22 @@
 class ConfigurationParserTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ConfigurationParserTest);
   CPPUNIT_TEST(Parse_SmallFile_IsValid);
-  CPPUNIT_TEST(Parse_SeveralFaults_AreReportedTogether);
-  CPPUNIT_TEST(Parse_UnknownKey_IsAFaultWithItsLine);
-  CPPUNIT_TEST(Parse_BrokenYaml_IsOneFault);
-  CPPUNIT_TEST(Parse_NotUtf8_IsAFault);
-  CPPUNIT_TEST(Parse_KeyOfTwoOrganisations_IsAFault);
-  CPPUNIT_TEST(Split_ThenJoin_MeansTheSame);
+  CPPUNIT_TEST(Parse_SeveralErrors_AreReportedTogether);
+  CPPUNIT_TEST(Parse_UnknownKey_IsAnErrorWithItsLine);
+  CPPUNIT_TEST(Parse_MalformedYaml_IsOneError);
+  CPPUNIT_TEST(Parse_NotUtf8_IsAnError);
+  CPPUNIT_TEST(Parse_KeyOfTwoOrganisations_IsAnError);
+  CPPUNIT_TEST(Split_ThenJoin_IsEquivalent);
   CPPUNIT_TEST(Split_OrderOfItems_DoesNotMatter);
-  CPPUNIT_TEST(Join_DamagedPiece_IsRefused);
+  CPPUNIT_TEST(Join_CorruptPiece_Fails);
   CPPUNIT_TEST(IsRepeatable_LongestPrefix_Decides);
   CPPUNIT_TEST_SUITE_END();
 
-  static bool HasFault(const ParsedConfiguration& aParsed,
+  static bool HasError(const ParsedConfiguration& aParsed,
                        const std::string& aPath, int aLine) {
     return std::any_of(aParsed.errors.begin(), aParsed.errors.end(),
-                       [&](const ConfigurationError& aFault) {
-                         return aFault.path == aPath && aFault.line == aLine;
+                       [&](const ConfigurationError& aError) {
+                         return aError.path == aPath && aError.line == aLine;
                        });
   }
 
@@ -51,47 +51,47 @@
     CPPUNIT_ASSERT(parsed.configuration.kinds[0].layerStep == 100us);
   }
 
-  void Parse_SeveralFaults_AreReportedTogether() {
+  void Parse_SeveralErrors_AreReportedTogether() {
     std::string file = kSmallFile;
     file.replace(file.find("layers: 4"), 9, "layers: 0");
     file.replace(file.find("kind: quick"), 11, "kind: qiuck");
     file.replace(file.find("[0, 4]"), 6, "[4, 0]");
     const ParsedConfiguration parsed = ParseConfiguration(file);
-    CPPUNIT_ASSERT(HasFault(parsed, "models[0].layers", 7));
-    CPPUNIT_ASSERT(HasFault(parsed, "upstreams.u1.kind", 0));
-    CPPUNIT_ASSERT(HasFault(parsed, "upstreams[0].layers", 12));
+    CPPUNIT_ASSERT(HasError(parsed, "models[0].layers", 7));
+    CPPUNIT_ASSERT(HasError(parsed, "upstreams.u1.kind", 0));
+    CPPUNIT_ASSERT(HasError(parsed, "upstreams[0].layers", 12));
   }
 
-  void Parse_UnknownKey_IsAFaultWithItsLine() {
+  void Parse_UnknownKey_IsAnErrorWithItsLine() {
     std::string file = kSmallFile;
     file.replace(file.find("keys: []"), 8, "kyes: []");
     const ParsedConfiguration parsed = ParseConfiguration(file);
-    CPPUNIT_ASSERT(HasFault(parsed, "organisations[0].kyes", 9));
+    CPPUNIT_ASSERT(HasError(parsed, "organisations[0].kyes", 9));
   }
 
-  void Parse_BrokenYaml_IsOneFault() {
+  void Parse_MalformedYaml_IsOneError() {
     const ParsedConfiguration parsed = ParseConfiguration("a: [1,\n b: }");
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, parsed.errors.size());
     CPPUNIT_ASSERT(parsed.errors[0].line >= 1);
   }
 
-  void Parse_NotUtf8_IsAFault() {
+  void Parse_NotUtf8_IsAnError() {
     const ParsedConfiguration parsed =
         ParseConfiguration(std::string(kSmallFile) + "# \xB1\n");
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, parsed.errors.size());
   }
 
-  void Parse_KeyOfTwoOrganisations_IsAFault() {
+  void Parse_KeyOfTwoOrganisations_IsAnError() {
     const std::string hash(64, 'a');
     std::string file = kSmallFile;
     file.replace(file.find("keys: []"), 8, "keys: [" + hash + "]");
     file.insert(file.find("upstreams:"),
                 "  - {name: other, keys: [" + hash + "]}\n");
     const ParsedConfiguration parsed = ParseConfiguration(file);
-    CPPUNIT_ASSERT(HasFault(parsed, "organisations.other.keys", 0));
+    CPPUNIT_ASSERT(HasError(parsed, "organisations.other.keys", 0));
   }
 
-  void Split_ThenJoin_MeansTheSame() {
+  void Split_ThenJoin_IsEquivalent() {
     const ConfigurationPieces pieces = SplitConfiguration(kSmallFile);
     const Result<std::string> joined = JoinConfiguration(pieces);
     CPPUNIT_ASSERT(joined.has_value());
@@ -108,7 +108,7 @@
                          SplitConfiguration(other).Digest());
   }
 
-  void Join_DamagedPiece_IsRefused() {
+  void Join_CorruptPiece_Fails() {
     ConfigurationPieces pieces = SplitConfiguration(kSmallFile);
     pieces.texts.begin()->second += " ";
     CPPUNIT_ASSERT(!JoinConfiguration(pieces).has_value());
--- a/UnitTests/TestMain.cpp
+++ b/UnitTests/TestMain.cpp
@@ -7,7 +7,7 @@
 
 #include <iostream>
 
-/// Runs all tests, or those whose path is the first word.
+/// Runs all tests, or those at the path in the first argument.
 int main(int aCount, char** aWords) {
   CppUnit::TestResult result;
   CppUnit::TestResultCollector collector;
--- a/Zincstep/Config/Configuration.cpp
+++ b/Zincstep/Config/Configuration.cpp
@@ -37,17 +37,17 @@
 
 bool IsRepeatable(const PlainService& aService, const std::string& aMethod,
                   const std::string& aPath) {
-  const CallRule* best = nullptr;
+  const CallRule* longestMatch = nullptr;
   for (const CallRule& rule : aService.calls) {
-    const bool fits =
+    const bool isMatch =
         rule.method == aMethod && aPath.starts_with(rule.pathPrefix);
-    if (fits &&
-        (best == nullptr || best->pathPrefix.size() < rule.pathPrefix.size())) {
-      best = &rule;
+    if (isMatch && (longestMatch == nullptr ||
+                    longestMatch->pathPrefix.size() < rule.pathPrefix.size())) {
+      longestMatch = &rule;
     }
   }
-  if (best != nullptr) {
-    return best->repeatable;
+  if (longestMatch != nullptr) {
+    return longestMatch->repeatable;
   }
   return aMethod == "GET" || aMethod == "HEAD" || aMethod == "OPTIONS";
 }
--- a/Zincstep/Config/Configuration.h
+++ b/Zincstep/Config/Configuration.h
@@ -9,10 +9,11 @@
 
 namespace zincstep {
 
-/// Order in which work is shed: `High` last.
+/// Priority of an organisation under overload: `Low` is shed first, `High`
+/// last.
 enum class Priority { High, Normal, Low };
 
-/// Written names of the priorities.
+/// Names of the priorities in the configuration file.
 inline constexpr NameTable<Priority, 3> kPriorityNames{{
     {Priority::High, "high"},
     {Priority::Normal, "normal"},
@@ -35,28 +36,28 @@
   bool operator==(const LayerRange&) const = default;
 };
 
-/// A place whose VMs fail together, inside a region.
+/// A failure domain: a place in a region whose VMs fail together.
 struct FailureDomain {
   std::string name;
   std::string region;
 };
 
-/// A kind of accelerator with its declared speed.
+/// An accelerator kind and its declared speed.
 struct AcceleratorKind {
   std::string name;
   /// Time of one decode step of one layer for a full batch.
   Micros layerStep{0};
-  /// Sequences that one step can hold.
+  /// Maximum number of sequences in one step.
   int batchSlots = 1;
   /// Time to prefill one token through one layer, in nanoseconds.
   std::int64_t prefillLayerNanos = 0;
 };
 
-/// A model that is split over upstreams by layer ranges.
+/// A model, split by layer ranges over upstreams.
 struct Model {
   std::string name;
   int layers = 0;
-  /// The version that new requests run on.
+  /// Version that new requests run on.
   std::string serving;
   std::vector<std::string> versions;
   std::vector<std::string> adapters;
@@ -64,14 +65,14 @@
   int contextTokens = 0;
 };
 
-/// A customer: weight, limits and the hashes of its keys.
+/// A customer with its weight, limits and hashed API keys.
 struct Organisation {
   std::string name;
   double weight = 1.0;
   Priority priority = Priority::Normal;
-  /// Ceiling over one failure domain, in tokens a second; 0 means none.
+  /// Rate limit in each failure domain, in tokens per second; 0 means no limit.
   double tokensPerSecond = 0;
-  /// SHA-256 of each bearer key, in hexadecimal.
+  /// SHA-256 of each bearer key, in lower-case hexadecimal.
   std::vector<std::string> keys;
   std::vector<std::string> models;
   std::vector<std::string> services;
@@ -86,33 +87,34 @@
   std::string model;
   std::string version;
   LayerRange layers;
-  /// Whether it refuses an order with an older fence itself.
+  /// Whether it rejects orders with an older fencing token by itself.
   bool checksFence = false;
 };
 
-/// Cost of the way between two failure domains.
+/// Network cost of the link from one failure domain to another.
 struct Link {
   std::string from;
   std::string to;
+  /// One-way latency.
   Micros oneWay{0};
   double megabitsPerSecond = 0;
 };
 
-/// A replica of a plain service.
+/// A replica of a plain service, which has no model.
 struct ServiceReplica {
   std::string name;
   std::string address;
   std::string failureDomain;
 };
 
-/// Rule that says whether calls of one method and path may be repeated.
+/// Whether calls with a method and a path prefix may be retried.
 struct CallRule {
   std::string method;
   std::string pathPrefix;
   bool repeatable = false;
 };
 
-/// A plain service, reached by path prefix or by host.
+/// A plain HTTP service, selected by path prefix or by host.
 struct PlainService {
   std::string name;
   std::string pathPrefix;
@@ -121,7 +123,7 @@
   std::vector<CallRule> calls;
 };
 
-/// Everything that operators declare: one file, applied as a whole.
+/// All that operators declare: one file, applied atomically.
 struct Configuration {
   std::vector<FailureDomain> failureDomains;
   std::vector<AcceleratorKind> kinds;
@@ -131,20 +133,21 @@
   std::vector<Link> links;
   std::vector<PlainService> services;
 
-  /// The model of that name, or null.
+  /// Returns the model with the given name, or null.
   const Model* FindModel(const std::string& aName) const;
-  /// The kind of that name, or null.
+  /// Returns the accelerator kind with the given name, or null.
   const AcceleratorKind* FindKind(const std::string& aName) const;
-  /// The organisation of that name, or null.
+  /// Returns the organisation with the given name, or null.
   const Organisation* FindOrganisation(const std::string& aName) const;
-  /// The region of a failure domain, or an empty text.
+  /// Returns the region of a failure domain; empty for an unknown domain.
   std::string RegionOf(const std::string& aFailureDomain) const;
 };
 
-/// Whether `aService` lets a call of this method and path be repeated.
+/// Whether a call to `aService` with this method and path may be retried.
 ///
-/// The rule with the longest matching prefix decides; without one, the
-/// methods that HTTP calls safe (RFC 9110, 9.2.1) are repeatable.
+/// The matching rule with the longest prefix applies. Without a match, GET,
+/// HEAD and OPTIONS, which HTTP defines as safe (RFC 9110, 9.2.1), are
+/// repeatable.
 bool IsRepeatable(const PlainService& aService, const std::string& aMethod,
                   const std::string& aPath);
 
--- a/Zincstep/Config/ConfigurationParser.cpp
+++ b/Zincstep/Config/ConfigurationParser.cpp
@@ -15,7 +15,7 @@
 constexpr std::int64_t kMaxLayers = 4096;
 constexpr std::int64_t kMaxTokens = 1'000'000;
 constexpr std::int64_t kMaxMicros = 60'000'000;
-constexpr std::size_t kKeyDigits = 64;
+constexpr std::size_t kKeyHashDigits = 64;
 
 FailureDomain ParseFailureDomain(YamlReader aReader) {
   aReader.AllowOnly({"name", "region"});
@@ -27,10 +27,10 @@
       {"name", "layer_step_us", "batch_slots", "prefill_layer_ns"});
   AcceleratorKind kind;
   kind.name = aReader.Text("name");
-  kind.layerStep = Micros{aReader.Whole("layer_step_us", 1, kMaxMicros)};
-  kind.batchSlots = static_cast<int>(aReader.Whole("batch_slots", 1, 4096));
-  kind.prefillLayerNanos = aReader.WholeOr("prefill_layer_ns", 0, kMaxMicros,
-                                           kind.layerStep.count() * 1000 / 50);
+  kind.layerStep = Micros{aReader.Integer("layer_step_us", 1, kMaxMicros)};
+  kind.batchSlots = static_cast<int>(aReader.Integer("batch_slots", 1, 4096));
+  kind.prefillLayerNanos = aReader.IntegerOr(
+      "prefill_layer_ns", 0, kMaxMicros, kind.layerStep.count() * 1000 / 50);
   return kind;
 }
 
@@ -39,17 +39,18 @@
                      "max_tokens", "context_tokens"});
   Model model;
   model.name = aReader.Text("name");
-  model.layers = static_cast<int>(aReader.Whole("layers", 1, kMaxLayers));
+  model.layers = static_cast<int>(aReader.Integer("layers", 1, kMaxLayers));
   model.serving = aReader.Text("serving");
   model.versions = aReader.Texts("versions");
   model.adapters = aReader.Texts("adapters");
   model.maxTokens =
-      static_cast<int>(aReader.WholeOr("max_tokens", 1, kMaxTokens, 1024));
-  model.contextTokens =
-      static_cast<int>(aReader.WholeOr("context_tokens", 1, kMaxTokens, 8192));
-  const auto& known = model.versions;
-  if (std::find(known.begin(), known.end(), model.serving) == known.end()) {
-    aReader.Fault("serving", "one of the model's versions");
+      static_cast<int>(aReader.IntegerOr("max_tokens", 1, kMaxTokens, 1024));
+  model.contextTokens = static_cast<int>(
+      aReader.IntegerOr("context_tokens", 1, kMaxTokens, 8192));
+  const auto& versions = model.versions;
+  if (std::find(versions.begin(), versions.end(), model.serving) ==
+      versions.end()) {
+    aReader.AddError("serving", "one of the model's versions");
   }
   return model;
 }
@@ -58,17 +59,17 @@
   const std::string name = aReader.TextOr("priority", "normal");
   const auto priority = ValueIn(kPriorityNames, std::string_view(name));
   if (!priority) {
-    aReader.Fault("priority", "high, normal or low");
+    aReader.AddError("priority", "high, normal or low");
   }
   return priority.value_or(Priority::Normal);
 }
 
 bool IsKeyHash(const std::string& aText) {
-  const auto isDigit = [](char aChar) {
+  const auto isHexDigit = [](char aChar) {
     return (aChar >= '0' && aChar <= '9') || (aChar >= 'a' && aChar <= 'f');
   };
-  return aText.size() == kKeyDigits &&
-         std::all_of(aText.begin(), aText.end(), isDigit);
+  return aText.size() == kKeyHashDigits &&
+         std::all_of(aText.begin(), aText.end(), isHexDigit);
 }
 
 Organisation ParseOrganisation(YamlReader aReader) {
@@ -85,7 +86,7 @@
   organisation.services = aReader.Texts("services");
   if (!std::all_of(organisation.keys.begin(), organisation.keys.end(),
                    IsKeyHash)) {
-    aReader.Fault("keys", "SHA-256 hashes, 64 lower-case hex digits each");
+    aReader.AddError("keys", "SHA-256 hashes, 64 lower-case hex digits each");
   }
   return organisation;
 }
@@ -110,7 +111,7 @@
   Link link;
   link.from = aReader.Text("from");
   link.to = aReader.Text("to");
-  link.oneWay = Micros{aReader.Whole("one_way_us", 0, kMaxMicros)};
+  link.oneWay = Micros{aReader.Integer("one_way_us", 0, kMaxMicros)};
   link.megabitsPerSecond = aReader.NumberOr("mbit", 0.001, 1e7, 1000);
   return link;
 }
@@ -139,33 +140,33 @@
   for (YamlReader& call : aReader.Mappings("calls")) {
     service.calls.push_back(ParseCall(call));
   }
-  const bool rooted =
+  const bool isValidPrefix =
       service.pathPrefix.empty() || (service.pathPrefix.front() == '/' &&
                                      !service.pathPrefix.starts_with("/v1/"));
-  if (!rooted) {
-    aReader.Fault("path", "a path from / that is not under /v1/");
+  if (!isValidPrefix) {
+    aReader.AddError("path", "a path from / that is not under /v1/");
   }
   if (service.pathPrefix.empty() && service.host.empty()) {
-    aReader.Fault("", "a path or a host");
+    aReader.AddError("", "a path or a host");
   }
   return service;
 }
 
-/// Checks that names are there once and that references have a target.
+/// Checks that names are unique and that references resolve.
 class ReferenceCheck {
  public:
   ReferenceCheck(const Configuration& aConfiguration,
-                 std::vector<ConfigurationError>& aFaults)
-      : configuration(aConfiguration), faults(aFaults) {}
+                 std::vector<ConfigurationError>& aErrors)
+      : configuration(aConfiguration), errors(aErrors) {}
 
   void Run() {
     this->domains =
-        this->Names("failure_domains", configuration.failureDomains);
-    this->kinds = this->Names("kinds", configuration.kinds);
-    this->models = this->Names("models", configuration.models);
-    this->services = this->Names("services", configuration.services);
-    this->Names("organisations", configuration.organisations);
-    this->Names("upstreams", configuration.upstreams);
+        this->CollectNames("failure_domains", configuration.failureDomains);
+    this->kinds = this->CollectNames("kinds", configuration.kinds);
+    this->models = this->CollectNames("models", configuration.models);
+    this->services = this->CollectNames("services", configuration.services);
+    this->CollectNames("organisations", configuration.organisations);
+    this->CollectNames("upstreams", configuration.upstreams);
     this->CheckUpstreams();
     this->CheckOrganisations();
     this->CheckLinks();
@@ -177,97 +178,100 @@
   using NameSet = std::set<std::string>;
 
   template <class T>
-  NameSet Names(const std::string& aList, const std::vector<T>& aItems) {
+  NameSet CollectNames(const std::string& aList, const std::vector<T>& aItems) {
     NameSet names;
     for (const T& item : aItems) {
       if (!item.name.empty() && !names.insert(item.name).second) {
-        this->Fault(aList + "." + item.name, "each name once");
+        this->AddError(aList + "." + item.name, "a unique name");
       }
     }
     return names;
   }
 
-  void Fault(const std::string& aPath, const std::string& aExpected) {
-    this->faults.push_back({0, aPath, aExpected});
+  void AddError(const std::string& aPath, const std::string& aExpected) {
+    this->errors.push_back({0, aPath, aExpected});
   }
 
-  void Need(const NameSet& aNames, const std::string& aName,
-            const std::string& aPath, const std::string& aExpected) {
-    if (!aName.empty() && !aNames.contains(aName)) {
-      this->Fault(aPath, aExpected + ", not '" + aName + "'");
+  void RequireName(const NameSet& aDeclared, const std::string& aName,
+                   const std::string& aPath, const std::string& aExpected) {
+    if (!aName.empty() && !aDeclared.contains(aName)) {
+      this->AddError(aPath, aExpected + ", not '" + aName + "'");
     }
   }
 
   void CheckUpstreams() {
     for (const Upstream& upstream : this->configuration.upstreams) {
-      const std::string place = "upstreams." + upstream.name;
-      this->Need(this->domains, upstream.failureDomain,
-                 place + ".failure_domain", "a declared failure domain");
-      this->Need(this->kinds, upstream.kind, place + ".kind",
-                 "a declared kind");
-      this->Need(this->models, upstream.model, place + ".model",
-                 "a declared model");
+      const std::string path = "upstreams." + upstream.name;
+      this->RequireName(this->domains, upstream.failureDomain,
+                        path + ".failure_domain", "a declared failure domain");
+      this->RequireName(this->kinds, upstream.kind, path + ".kind",
+                        "a declared kind");
+      this->RequireName(this->models, upstream.model, path + ".model",
+                        "a declared model");
       const Model* model = this->configuration.FindModel(upstream.model);
       if (model != nullptr && upstream.layers.last > model->layers) {
-        this->Fault(place + ".layers",
-                    "layers up to " + std::to_string(model->layers));
+        this->AddError(path + ".layers",
+                       "layers up to " + std::to_string(model->layers));
       }
-      const bool knownVersion =
+      const bool isKnownVersion =
           model == nullptr || upstream.version.empty() ||
           std::find(model->versions.begin(), model->versions.end(),
                     upstream.version) != model->versions.end();
-      if (!knownVersion) {
-        this->Fault(place + ".version", "one of the model's versions");
+      if (!isKnownVersion) {
+        this->AddError(path + ".version", "one of the model's versions");
       }
     }
   }
 
   void CheckOrganisations() {
-    for (const Organisation& one : this->configuration.organisations) {
-      const std::string place = "organisations." + one.name;
-      for (const std::string& model : one.models) {
-        this->Need(this->models, model, place + ".models", "a declared model");
+    for (const Organisation& organisation : this->configuration.organisations) {
+      const std::string path = "organisations." + organisation.name;
+      for (const std::string& model : organisation.models) {
+        this->RequireName(this->models, model, path + ".models",
+                          "a declared model");
       }
-      for (const std::string& service : one.services) {
-        this->Need(this->services, service, place + ".services",
-                   "a declared service");
+      for (const std::string& service : organisation.services) {
+        this->RequireName(this->services, service, path + ".services",
+                          "a declared service");
       }
     }
   }
 
   void CheckLinks() {
     for (const Link& link : this->configuration.links) {
-      const std::string place = "links." + link.from + "-" + link.to;
-      this->Need(this->domains, link.from, place, "a declared failure domain");
-      this->Need(this->domains, link.to, place, "a declared failure domain");
+      const std::string path = "links." + link.from + "-" + link.to;
+      this->RequireName(this->domains, link.from, path,
+                        "a declared failure domain");
+      this->RequireName(this->domains, link.to, path,
+                        "a declared failure domain");
     }
   }
 
   void CheckReplicas() {
     for (const PlainService& service : this->configuration.services) {
-      const std::string place = "services." + service.name;
-      this->Names(place + ".replicas", service.replicas);
+      const std::string path = "services." + service.name;
+      this->CollectNames(path + ".replicas", service.replicas);
       for (const ServiceReplica& replica : service.replicas) {
-        this->Need(this->domains, replica.failureDomain, place + ".replicas",
-                   "a declared failure domain");
+        this->RequireName(this->domains, replica.failureDomain,
+                          path + ".replicas", "a declared failure domain");
       }
     }
   }
 
   void CheckKeys() {
     NameSet seen;
-    for (const Organisation& one : this->configuration.organisations) {
-      for (const std::string& key : one.keys) {
+    for (const Organisation& organisation : this->configuration.organisations) {
+      for (const std::string& key : organisation.keys) {
         if (!seen.insert(key).second) {
-          this->Fault("organisations." + one.name + ".keys",
-                      "keys that no other organisation has");
+          this->AddError("organisations." + organisation.name + ".keys",
+                         "keys that no other organisation uses");
         }
       }
     }
   }
 
   const Configuration& configuration;
-  std::vector<ConfigurationError>& faults;
+  std::vector<ConfigurationError>& errors;
   NameSet domains;
   NameSet kinds;
   NameSet models;
@@ -277,7 +281,7 @@
 Configuration ParseRoot(YamlReader& aRoot) {
   aRoot.AllowOnly({"zincstep", "failure_domains", "kinds", "models",
                    "organisations", "upstreams", "links", "services"});
-  aRoot.Whole("zincstep", 1, 1);
+  aRoot.Integer("zincstep", 1, 1);
   Configuration configuration;
   for (YamlReader& item : aRoot.Mappings("failure_domains")) {
     configuration.failureDomains.push_back(ParseFailureDomain(item));
@@ -303,7 +307,8 @@
   return configuration;
 }
 
-/// Whether the JSON library, which cuts the file into pieces, takes it.
+/// Whether the JSON library, which later encodes the pieces of the file,
+/// accepts the text.
 bool IsUtf8(const std::string& aText) {
   try {
     (void)nlohmann::json(aText).dump();
@@ -316,23 +321,23 @@
 }  // namespace
 
 std::string ConfigurationError::Describe() const {
-  const std::string place =
+  const std::string prefix =
       this->line > 0 ? "line " + std::to_string(this->line) + ": " : "";
-  const std::string where = this->path.empty() ? "the file" : this->path;
-  return place + where + ": expected " + this->expected;
+  const std::string location = this->path.empty() ? "the file" : this->path;
+  return prefix + location + ": expected " + this->expected;
 }
 
 ParsedConfiguration ParseConfiguration(const std::string& aYaml) {
   ParsedConfiguration parsed;
   if (!IsUtf8(aYaml)) {
-    parsed.errors.push_back({0, "", "text in UTF-8"});
+    parsed.errors.push_back({0, "", "UTF-8 text"});
     return parsed;
   }
   try {
     YamlReader root(YAML::Load(aYaml), "", parsed.errors);
     parsed.configuration = ParseRoot(root);
-  } catch (const YAML::Exception& fault) {
-    parsed.errors.push_back({fault.mark.line + 1, "", "YAML: " + fault.msg});
+  } catch (const YAML::Exception& error) {
+    parsed.errors.push_back({error.mark.line + 1, "", "YAML: " + error.msg});
     return parsed;
   }
   ReferenceCheck(parsed.configuration, parsed.errors).Run();
--- a/Zincstep/Config/ConfigurationParser.h
+++ b/Zincstep/Config/ConfigurationParser.h
@@ -7,20 +7,20 @@
 
 namespace zincstep {
 
-/// One fault in an operators' file.
+/// One error in an operators' file.
 struct ConfigurationError {
-  /// Line in the file, from 1; 0 where the fault has no line.
+  /// Line in the file, from 1; 0 where the error has no line.
   int line = 0;
-  /// Path of the faulty value, such as `upstreams[3].layers`.
+  /// Path of the invalid value, such as `upstreams[3].layers`.
   std::string path;
-  /// What was expected there.
+  /// Description of the expected value.
   std::string expected;
 
-  /// `line 12: upstreams[3].layers: expected ...`
+  /// Returns a message such as `line 12: upstreams[3].layers: expected ...`.
   std::string Describe() const;
 };
 
-/// A parsed file, or all of its faults together.
+/// A parsed file, or all of its errors.
 struct ParsedConfiguration {
   Configuration configuration;
   std::vector<ConfigurationError> errors;
@@ -29,11 +29,10 @@
   bool IsValid() const { return this->errors.empty(); }
 };
 
-/// Parses and checks an operators' file in YAML.
+/// Parses and validates an operators' file in YAML.
 ///
-/// Every fault is collected, so that an operator mends a file in one go.
-/// A key that the format does not know is a fault: a misspelt limit that is
-/// passed over would be a limit that does not hold.
+/// Collects all errors, so that an operator can fix them in one pass. Unknown
+/// keys are errors: a misspelt limit that is ignored would not be enforced.
 ParsedConfiguration ParseConfiguration(const std::string& aYaml);
 
 }  // namespace zincstep
--- a/Zincstep/Config/ConfigurationPieces.cpp
+++ b/Zincstep/Config/ConfigurationPieces.cpp
@@ -11,11 +11,11 @@
 
 using Json = nlohmann::json;
 
-/// Buckets of a list section. With 1,300 organisations a piece holds some
-/// 20 of them, a few kilobytes.
-constexpr std::uint64_t kBuckets = 64;
+/// Number of buckets of a list section. With 1,300 organisations a piece holds
+/// about 20 of them, a few kilobytes.
+constexpr std::uint64_t kBucketCount = 64;
 
-/// The node with its mappings sorted and its scalars as texts.
+/// Converts a node to JSON with sorted mappings and scalars as strings.
 Json ToCanonical(const YAML::Node& aNode) {
   if (aNode.IsMap()) {
     Json object = Json::object();
@@ -42,12 +42,12 @@
 }
 
 std::string BucketName(const std::string& aSection, const std::string& aItem) {
-  const std::uint64_t bucket = Hash64(aItem) % kBuckets;
+  const std::uint64_t bucket = Hash64(aItem) % kBucketCount;
   const std::string digits = std::to_string(bucket);
   return aSection + "/" + (digits.size() < 2 ? "0" : "") + digits;
 }
 
-/// Items of every section by name, in the canonical form.
+/// Returns the items of all sections by `section/name`, in canonical form.
 std::map<std::string, Json> ItemsOf(const ConfigurationPieces& aPieces) {
   std::map<std::string, Json> items;
   for (const PieceName& name : aPieces.names) {
@@ -79,11 +79,11 @@
 }  // namespace
 
 std::string ConfigurationPieces::Digest() const {
-  std::string all;
+  std::string content;
   for (const PieceName& name : this->names) {
-    all += name.section + "=" + name.digest + "\n";
+    content += name.section + "=" + name.digest + "\n";
   }
-  return Sha256Hex(all);
+  return Sha256Hex(content);
 }
 
 ConfigurationPieces SplitConfiguration(const std::string& aYaml) {
--- a/Zincstep/Config/ConfigurationPieces.h
+++ b/Zincstep/Config/ConfigurationPieces.h
@@ -8,7 +8,7 @@
 
 namespace zincstep {
 
-/// Names one piece of a configuration by its content.
+/// Identifies one piece of a configuration by the digest of its content.
 struct PieceName {
   /// Section and bucket, such as `organisations/03`.
   std::string section;
@@ -18,44 +18,44 @@
   bool operator==(const PieceName&) const = default;
 };
 
-/// A configuration cut into pieces that are named by their content.
+/// A configuration split into content-addressed pieces.
 ///
-/// A change to one organisation or upstream changes one piece, so that it
-/// is written and read again alone, and no piece nears the size that one
-/// value of the key-value service may have.
+/// A change to one organisation or upstream changes one piece, so that only
+/// this piece is written and read again, and every piece stays well below the
+/// maximum value size of the key-value service.
 struct ConfigurationPieces {
   std::vector<PieceName> names;
   /// Text of each piece by its digest.
   std::map<std::string, std::string> texts;
 
-  /// Digest of the whole: the same for files that mean the same.
+  /// Returns the digest of all pieces; equivalent files have equal digests.
   std::string Digest() const;
 };
 
-/// Cuts a valid operators' file; lists are sorted by the items' names.
+/// Splits a valid operators' file; lists are sorted by item name.
 ConfigurationPieces SplitConfiguration(const std::string& aYaml);
 
-/// Puts the pieces together to a file that `ParseConfiguration` reads.
+/// Joins the pieces into a file that `ParseConfiguration` reads.
 ///
-/// Fails with `Internal` where a piece is missing or is not what its name
-/// says.
+/// Fails with `Internal` where a piece is missing or does not match its digest.
 Result<std::string> JoinConfiguration(const ConfigurationPieces& aPieces);
 
 /// One difference between two configurations.
 struct ConfigurationChange {
   enum class Kind { Added, Removed, Changed };
   Kind kind = Kind::Changed;
-  /// Such as `organisations/tavua-ovens`.
+  /// Section and item name, such as `organisations/tavua-ovens`.
   std::string item;
 };
 
+/// Names of the changes in the client's output.
 inline constexpr NameTable<ConfigurationChange::Kind, 3> kChangeNames{{
     {ConfigurationChange::Kind::Added, "added"},
     {ConfigurationChange::Kind::Removed, "removed"},
     {ConfigurationChange::Kind::Changed, "changed"},
 }};
 
-/// What has to change in `aBefore` to make it `aAfter`, by item.
+/// Returns the changes by item that turn `aBefore` into `aAfter`.
 std::vector<ConfigurationChange> CompareConfigurations(
     const ConfigurationPieces& aBefore, const ConfigurationPieces& aAfter);
 
--- a/Zincstep/Config/YamlReader.cpp
+++ b/Zincstep/Config/YamlReader.cpp
@@ -6,10 +6,10 @@
 namespace zincstep {
 
 YamlReader::YamlReader(const YAML::Node& aNode, std::string aPath,
-                       std::vector<ConfigurationError>& aFaults)
-    : node(aNode), path(std::move(aPath)), faults(&aFaults) {
+                       std::vector<ConfigurationError>& aErrors)
+    : node(aNode), path(std::move(aPath)), errors(&aErrors) {
   if (!this->node.IsMap()) {
-    this->Fault("", "a mapping");
+    this->AddError("", "a mapping");
   }
 }
 
@@ -21,19 +21,21 @@
   return parent[aKey];
 }
 
-void YamlReader::FaultAt(const YAML::Node& aNode, const std::string& aPath,
-                         const std::string& aExpected) {
+void YamlReader::AddErrorAt(const YAML::Node& aNode, const std::string& aPath,
+                            const std::string& aExpected) {
   const YAML::Mark mark = aNode.IsDefined() ? aNode.Mark() : this->node.Mark();
-  this->faults->push_back({mark.line + 1, aPath, aExpected});
+  this->errors->push_back({mark.line + 1, aPath, aExpected});
 }
 
-void YamlReader::Fault(const std::string& aKey, const std::string& aExpected) {
+void YamlReader::AddError(const std::string& aKey,
+                          const std::string& aExpected) {
   if (aKey.empty()) {
-    this->FaultAt(this->node, this->path, aExpected);
+    this->AddErrorAt(this->node, this->path, aExpected);
     return;
   }
-  const std::string place = this->path.empty() ? aKey : this->path + "." + aKey;
-  this->FaultAt(this->Child(aKey.c_str()), place, aExpected);
+  const std::string fullPath =
+      this->path.empty() ? aKey : this->path + "." + aKey;
+  this->AddErrorAt(this->Child(aKey.c_str()), fullPath, aExpected);
 }
 
 void YamlReader::AllowOnly(std::initializer_list<std::string_view> aKeys) {
@@ -43,12 +45,13 @@
   std::vector<std::string> seen;
   for (const auto& entry : this->node) {
     const std::string key = entry.first.Scalar();
-    const std::string place = this->path.empty() ? key : this->path + "." + key;
+    const std::string fullPath =
+        this->path.empty() ? key : this->path + "." + key;
     if (std::find(aKeys.begin(), aKeys.end(), key) == aKeys.end()) {
-      this->FaultAt(entry.first, place, "no such key in this place");
+      this->AddErrorAt(entry.first, fullPath, "a known key");
     }
     if (std::find(seen.begin(), seen.end(), key) != seen.end()) {
-      this->FaultAt(entry.first, place, "each key once");
+      this->AddErrorAt(entry.first, fullPath, "each key only once");
     }
     seen.push_back(key);
   }
@@ -57,7 +60,7 @@
 std::string YamlReader::Text(const char* aKey) {
   const YAML::Node child = this->Child(aKey);
   if (!child.IsDefined() || !child.IsScalar() || child.Scalar().empty()) {
-    this->Fault(aKey, "a text");
+    this->AddError(aKey, "a non-empty string");
     return {};
   }
   return child.Scalar();
@@ -67,38 +70,38 @@
   return this->Child(aKey).IsDefined() ? this->Text(aKey) : aDefault;
 }
 
-std::int64_t YamlReader::Whole(const char* aKey, std::int64_t aLow,
-                               std::int64_t aHigh) {
+std::int64_t YamlReader::Integer(const char* aKey, std::int64_t aMin,
+                                 std::int64_t aMax) {
   const YAML::Node child = this->Child(aKey);
   std::int64_t value = 0;
-  const bool read = child.IsDefined() && child.IsScalar() &&
-                    YAML::convert<std::int64_t>::decode(child, value);
-  if (!read || value < aLow || value > aHigh) {
-    this->Fault(aKey, "a whole number from " + std::to_string(aLow) + " to " +
-                          std::to_string(aHigh));
-    return aLow;
+  const bool isParsed = child.IsDefined() && child.IsScalar() &&
+                        YAML::convert<std::int64_t>::decode(child, value);
+  if (!isParsed || value < aMin || value > aMax) {
+    this->AddError(aKey, "an integer from " + std::to_string(aMin) + " to " +
+                             std::to_string(aMax));
+    return aMin;
   }
   return value;
 }
 
-std::int64_t YamlReader::WholeOr(const char* aKey, std::int64_t aLow,
-                                 std::int64_t aHigh, std::int64_t aDefault) {
-  return this->Child(aKey).IsDefined() ? this->Whole(aKey, aLow, aHigh)
+std::int64_t YamlReader::IntegerOr(const char* aKey, std::int64_t aMin,
+                                   std::int64_t aMax, std::int64_t aDefault) {
+  return this->Child(aKey).IsDefined() ? this->Integer(aKey, aMin, aMax)
                                        : aDefault;
 }
 
-double YamlReader::NumberOr(const char* aKey, double aLow, double aHigh,
+double YamlReader::NumberOr(const char* aKey, double aMin, double aMax,
                             double aDefault) {
   const YAML::Node child = this->Child(aKey);
   if (!child.IsDefined()) {
     return aDefault;
   }
   double value = 0;
-  const bool read =
+  const bool isParsed =
       child.IsScalar() && YAML::convert<double>::decode(child, value);
-  if (!read || !std::isfinite(value) || value < aLow || value > aHigh) {
-    this->Fault(aKey, "a number from " + std::to_string(aLow) + " to " +
-                          std::to_string(aHigh));
+  if (!isParsed || !std::isfinite(value) || value < aMin || value > aMax) {
+    this->AddError(aKey, "a number from " + std::to_string(aMin) + " to " +
+                             std::to_string(aMax));
     return aDefault;
   }
   return value;
@@ -111,7 +114,7 @@
   }
   bool value = aDefault;
   if (!child.IsScalar() || !YAML::convert<bool>::decode(child, value)) {
-    this->Fault(aKey, "true or false");
+    this->AddError(aKey, "true or false");
   }
   return value;
 }
@@ -123,12 +126,13 @@
     return texts;
   }
   if (!child.IsSequence()) {
-    this->Fault(aKey, "a list of texts");
+    this->AddError(aKey, "a list of non-empty strings");
     return texts;
   }
   for (const YAML::Node& item : child) {
     if (!item.IsScalar() || item.Scalar().empty()) {
-      this->FaultAt(item, this->path + "." + aKey, "a list of texts");
+      this->AddErrorAt(item, this->path + "." + aKey,
+                       "a list of non-empty strings");
       continue;
     }
     texts.push_back(item.Scalar());
@@ -143,13 +147,13 @@
     return readers;
   }
   if (!child.IsSequence()) {
-    this->Fault(aKey, "a list");
+    this->AddError(aKey, "a list");
     return readers;
   }
   const std::string prefix = this->path.empty() ? "" : this->path + ".";
   for (std::size_t i = 0; i < child.size(); ++i) {
-    const std::string place = prefix + aKey + "[" + std::to_string(i) + "]";
-    readers.emplace_back(child[i], place, *this->faults);
+    const std::string fullPath = prefix + aKey + "[" + std::to_string(i) + "]";
+    readers.emplace_back(child[i], fullPath, *this->errors);
   }
   return readers;
 }
@@ -157,12 +161,12 @@
 LayerRange YamlReader::Layers(const char* aKey) {
   const YAML::Node child = this->Child(aKey);
   LayerRange range;
-  const bool read = child.IsDefined() && child.IsSequence() &&
-                    child.size() == 2 &&
-                    YAML::convert<int>::decode(child[0], range.first) &&
-                    YAML::convert<int>::decode(child[1], range.last);
-  if (!read || range.first < 0 || range.last <= range.first) {
-    this->Fault(aKey, "[first, last] with 0 <= first < last");
+  const bool isParsed = child.IsDefined() && child.IsSequence() &&
+                        child.size() == 2 &&
+                        YAML::convert<int>::decode(child[0], range.first) &&
+                        YAML::convert<int>::decode(child[1], range.last);
+  if (!isParsed || range.first < 0 || range.last <= range.first) {
+    this->AddError(aKey, "[first, last] with 0 <= first < last");
     return {};
   }
   return range;
--- a/Zincstep/Config/YamlReader.h
+++ b/Zincstep/Config/YamlReader.h
@@ -11,46 +11,50 @@
 
 namespace zincstep {
 
-/// Reads one mapping of a YAML file and notes every fault with its place.
+/// Reads one mapping of a YAML file and records every error with its path and
+/// line.
 class YamlReader {
  public:
   YamlReader(const YAML::Node& aNode, std::string aPath,
-             std::vector<ConfigurationError>& aFaults);
+             std::vector<ConfigurationError>& aErrors);
 
-  /// Notes a fault for each key that is not among `aKeys`.
+  /// Records an error for each key that is not among `aKeys` or is duplicate.
   void AllowOnly(std::initializer_list<std::string_view> aKeys);
 
-  /// A text of at least one character.
+  /// Returns a string of at least one character; records an error and returns
+  /// an empty one where the key is missing or has no such value.
   std::string Text(const char* aKey);
-  /// A text, or `aDefault` where the key is missing.
+  /// Returns a string, or `aDefault` where the key is missing.
   std::string TextOr(const char* aKey, const std::string& aDefault);
-  /// A whole number in [`aLow`, `aHigh`].
-  std::int64_t Whole(const char* aKey, std::int64_t aLow, std::int64_t aHigh);
-  /// A whole number in range, or `aDefault` where the key is missing.
-  std::int64_t WholeOr(const char* aKey, std::int64_t aLow, std::int64_t aHigh,
-                       std::int64_t aDefault);
-  /// A number in [`aLow`, `aHigh`], or `aDefault` where it is missing.
-  double NumberOr(const char* aKey, double aLow, double aHigh, double aDefault);
-  /// `true` or `false`, or `aDefault` where the key is missing.
+  /// Returns an integer in [`aMin`, `aMax`]; records an error and returns
+  /// `aMin` otherwise.
+  std::int64_t Integer(const char* aKey, std::int64_t aMin, std::int64_t aMax);
+  /// Returns an integer as above, or `aDefault` where the key is missing.
+  std::int64_t IntegerOr(const char* aKey, std::int64_t aMin, std::int64_t aMax,
+                         std::int64_t aDefault);
+  /// Returns a number in [`aMin`, `aMax`], or `aDefault` where it is missing.
+  double NumberOr(const char* aKey, double aMin, double aMax, double aDefault);
+  /// Returns a boolean, or `aDefault` where the key is missing.
   bool FlagOr(const char* aKey, bool aDefault);
-  /// A list of texts; empty where the key is missing.
+  /// Returns a list of strings; empty where the key is missing.
   std::vector<std::string> Texts(const char* aKey);
-  /// Readers of the mappings of a list; empty where the key is missing.
+  /// Returns a reader for each mapping of a list; empty where the key is
+  /// missing.
   std::vector<YamlReader> Mappings(const char* aKey);
-  /// A layer range, written `[first, last]` with last outside.
+  /// Returns a layer range, written `[first, last]` with `last` exclusive.
   LayerRange Layers(const char* aKey);
 
-  /// Notes a fault at `aKey`, or at the mapping itself when it is empty.
-  void Fault(const std::string& aKey, const std::string& aExpected);
+  /// Records an error at `aKey`, or at the mapping itself if `aKey` is empty.
+  void AddError(const std::string& aKey, const std::string& aExpected);
 
  private:
   YAML::Node Child(const char* aKey) const;
-  void FaultAt(const YAML::Node& aNode, const std::string& aPath,
-               const std::string& aExpected);
+  void AddErrorAt(const YAML::Node& aNode, const std::string& aPath,
+                  const std::string& aExpected);
 
   YAML::Node node;
   std::string path;
-  std::vector<ConfigurationError>* faults;
+  std::vector<ConfigurationError>* errors;
 };
 
 }  // namespace zincstep
