--- a/Zincstep/Settings/SettingsReader.cpp
+++ b/Zincstep/Settings/SettingsReader.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr int kFirstOption = 1000;
-constexpr int kHelp = 1;
-constexpr int kShowVersion = 2;
-constexpr int kBadUsage = 2;
+constexpr int kFirstOptionCode = 1000;
+constexpr int kHelpCode = 1;
+constexpr int kVersionCode = 2;
+constexpr int kUsageErrorStatus = 2;
 
 template <class T>
 bool ReadNumber(const std::string& aText, T& aValue) {
@@ -23,14 +23,15 @@
 }
 
 template <class T>
-std::string Between(T aLow, T aHigh) {
-  return "from " + std::to_string(aLow) + " to " + std::to_string(aHigh);
+std::string RangeText(T aMin, T aMax) {
+  return "from " + std::to_string(aMin) + " to " + std::to_string(aMax);
 }
 
 std::string VariableName(const std::string& aName) {
   std::string variable = "ZINCSTEP_";
-  for (const char letter : aName) {
-    variable += letter == '-' ? '_' : static_cast<char>(std::toupper(letter));
+  for (const char character : aName) {
+    variable +=
+        character == '-' ? '_' : static_cast<char>(std::toupper(character));
   }
   return variable;
 }
@@ -52,13 +53,13 @@
 }
 
 void SettingsReader::Text(const char* aName, std::string& aTarget,
-                          const char* aMeaning, bool aRequired) {
+                          const char* aDescription, bool aRequired) {
   Option option;
   option.name = aName;
-  option.meaning = aMeaning;
-  option.shown = aTarget;
-  option.required = aRequired;
-  option.take = [&aTarget](const std::string& aText) {
+  option.description = aDescription;
+  option.defaultText = aTarget;
+  option.isRequired = aRequired;
+  option.parse = [&aTarget](const std::string& aText) {
     aTarget = aText;
     return std::string();
   };
@@ -66,72 +67,73 @@
 }
 
 void SettingsReader::Address(const char* aName, std::string& aTarget,
-                             const char* aMeaning, bool aRequired) {
-  this->Text(aName, aTarget, aMeaning, aRequired);
-  this->options.back().take = [&aTarget](const std::string& aText) {
+                             const char* aDescription, bool aRequired) {
+  this->Text(aName, aTarget, aDescription, aRequired);
+  this->options.back().parse = [&aTarget](const std::string& aText) {
     aTarget = aText;
     return std::string(IsAddress(aText) ? "" : "host:port");
   };
 }
 
 void SettingsReader::Integer(const char* aName, std::int64_t& aTarget,
-                             std::int64_t aLow, std::int64_t aHigh,
-                             const char* aMeaning) {
+                             std::int64_t aMin, std::int64_t aMax,
+                             const char* aDescription) {
   Option option;
   option.name = aName;
-  option.meaning = aMeaning;
-  option.shown = std::to_string(aTarget);
-  option.take = [&aTarget, aLow, aHigh](const std::string& aText) {
-    const bool read = ReadNumber(aText, aTarget);
-    const bool fits = read && aTarget >= aLow && aTarget <= aHigh;
-    return fits ? std::string() : "a whole number " + Between(aLow, aHigh);
+  option.description = aDescription;
+  option.defaultText = std::to_string(aTarget);
+  option.parse = [&aTarget, aMin, aMax](const std::string& aText) {
+    const bool isParsed = ReadNumber(aText, aTarget);
+    const bool isInRange = isParsed && aTarget >= aMin && aTarget <= aMax;
+    return isInRange ? std::string() : "an integer " + RangeText(aMin, aMax);
   };
   this->Add(std::move(option));
 }
 
-void SettingsReader::Number(const char* aName, double& aTarget, double aLow,
-                            double aHigh, const char* aMeaning) {
+void SettingsReader::Number(const char* aName, double& aTarget, double aMin,
+                            double aMax, const char* aDescription) {
   Option option;
   option.name = aName;
-  option.meaning = aMeaning;
-  option.shown = std::to_string(aTarget);
-  option.take = [&aTarget, aLow, aHigh](const std::string& aText) {
-    const bool read = ReadNumber(aText, aTarget);
-    const bool fits = read && aTarget >= aLow && aTarget <= aHigh;
-    return fits ? std::string() : "a number " + Between(aLow, aHigh);
+  option.description = aDescription;
+  option.defaultText = std::to_string(aTarget);
+  option.parse = [&aTarget, aMin, aMax](const std::string& aText) {
+    const bool isParsed = ReadNumber(aText, aTarget);
+    const bool isInRange = isParsed && aTarget >= aMin && aTarget <= aMax;
+    return isInRange ? std::string() : "a number " + RangeText(aMin, aMax);
   };
   this->Add(std::move(option));
 }
 
 void SettingsReader::Millis(const char* aName, Micros& aTarget,
-                            std::int64_t aLow, std::int64_t aHigh,
-                            const char* aMeaning) {
+                            std::int64_t aMin, std::int64_t aMax,
+                            const char* aDescription) {
   Option option;
   option.name = aName;
-  option.meaning = aMeaning;
-  option.shown = std::to_string(aTarget.count() / 1000) + " ms";
-  option.take = [&aTarget, aLow, aHigh](const std::string& aText) {
+  option.description = aDescription;
+  option.defaultText = std::to_string(aTarget.count() / 1000) + " ms";
+  option.parse = [&aTarget, aMin, aMax](const std::string& aText) {
     std::int64_t millis = 0;
-    const bool read = ReadNumber(aText, millis);
+    const bool isParsed = ReadNumber(aText, millis);
     aTarget = Micros{millis * 1000};
-    const bool fits = read && millis >= aLow && millis <= aHigh;
-    return fits ? std::string() : "whole milliseconds " + Between(aLow, aHigh);
+    const bool isInRange = isParsed && millis >= aMin && millis <= aMax;
+    return isInRange ? std::string()
+                     : "integer milliseconds " + RangeText(aMin, aMax);
   };
   this->Add(std::move(option));
 }
 
 void SettingsReader::Flag(const char* aName, bool& aTarget,
-                          const char* aMeaning) {
+                          const char* aDescription) {
   Option option;
   option.name = aName;
-  option.meaning = aMeaning;
-  option.takesValue = false;
-  option.shown = "off";
-  option.take = [&aTarget](const std::string& aText) {
-    const bool on = aText.empty() || aText == "1" || aText == "true";
-    const bool off = aText == "0" || aText == "false";
-    aTarget = on;
-    return std::string(on || off ? "" : "1 or 0");
+  option.description = aDescription;
+  option.hasValue = false;
+  option.defaultText = "off";
+  option.parse = [&aTarget](const std::string& aText) {
+    const bool isOn = aText.empty() || aText == "1" || aText == "true";
+    const bool isOff = aText == "0" || aText == "false";
+    aTarget = isOn;
+    return std::string(isOn || isOff ? "" : "1 or 0");
   };
   this->Add(std::move(option));
 }
@@ -139,31 +141,31 @@
 std::string SettingsReader::Help() const {
   std::string text = "Usage: " + this->program + " " + this->usage + "\n\n";
   for (const Option& option : this->options) {
-    std::string left = "  --" + option.name;
-    left += option.takesValue ? " VALUE" : "";
-    left.resize(std::max<std::size_t>(left.size() + 1, 32), ' ');
-    const std::string shown =
-        option.required
+    std::string flagColumn = "  --" + option.name;
+    flagColumn += option.hasValue ? " VALUE" : "";
+    flagColumn.resize(std::max<std::size_t>(flagColumn.size() + 1, 32), ' ');
+    const std::string defaultColumn =
+        option.isRequired
             ? "required"
-            : "default: " +
-                  (option.shown.empty() ? std::string("none") : option.shown);
-    text += left + option.meaning + " (" + shown + ")\n";
+            : "default: " + (option.defaultText.empty() ? std::string("none")
+                                                        : option.defaultText);
+    text += flagColumn + option.description + " (" + defaultColumn + ")\n";
   }
-  text += "  --help                        Show this and exit\n";
+  text += "  --help                        Show this help and exit\n";
   text += "  --version                     Show the version and exit\n\n";
-  text += "Each flag can be set as an environment variable instead, such as " +
+  text += "Each flag can also be set by an environment variable, such as " +
           VariableName(this->options.empty() ? "log-level"
                                              : this->options.front().name) +
           ".\n";
   return text;
 }
 
-void SettingsReader::TakeValue(Option& aOption, const std::string& aValue,
-                               const std::string& aFrom) {
+void SettingsReader::ApplyValue(Option& aOption, const std::string& aValue,
+                                const std::string& aSource) {
   aOption.isSet = true;
-  const std::string expected = aOption.take(aValue);
+  const std::string expected = aOption.parse(aValue);
   if (!expected.empty()) {
-    this->faults.push_back(aFrom + ": expected " + expected + ", not '" +
+    this->errors.push_back(aSource + ": expected " + expected + ", not '" +
                            aValue + "'");
   }
 }
@@ -173,69 +175,69 @@
     const std::string variable = VariableName(option.name);
     const char* value = std::getenv(variable.c_str());
     if (!option.isSet && value != nullptr) {
-      this->TakeValue(option, value, variable);
+      this->ApplyValue(option, value, variable);
     }
-    if (!option.isSet && option.required) {
-      this->faults.push_back("--" + option.name + " or " + variable +
+    if (!option.isSet && option.isRequired) {
+      this->errors.push_back("--" + option.name + " or " + variable +
                              " is required");
     }
   }
 }
 
 Result<std::vector<std::string>> SettingsReader::Read(int aCount,
-                                                      char** aWords) {
+                                                      char** aArguments) {
   std::vector<::option> table;
   for (std::size_t i = 0; i < this->options.size(); ++i) {
-    const Option& one = this->options[i];
-    table.push_back({one.name.c_str(),
-                     one.takesValue ? required_argument : no_argument, nullptr,
-                     kFirstOption + static_cast<int>(i)});
+    const Option& option = this->options[i];
+    table.push_back({option.name.c_str(),
+                     option.hasValue ? required_argument : no_argument, nullptr,
+                     kFirstOptionCode + static_cast<int>(i)});
   }
-  table.push_back({"help", no_argument, nullptr, kHelp});
-  table.push_back({"version", no_argument, nullptr, kShowVersion});
+  table.push_back({"help", no_argument, nullptr, kHelpCode});
+  table.push_back({"version", no_argument, nullptr, kVersionCode});
   table.push_back({nullptr, 0, nullptr, 0});
   opterr = 0;
   optind = 1;
-  int found = 0;
-  while ((found = getopt_long(aCount, aWords, "", table.data(), nullptr)) !=
+  int code = 0;
+  while ((code = getopt_long(aCount, aArguments, "", table.data(), nullptr)) !=
          -1) {
-    if (found == kHelp) {
+    if (code == kHelpCode) {
       std::printf("%s", this->Help().c_str());
       std::exit(0);
     }
-    if (found == kShowVersion) {
+    if (code == kVersionCode) {
       std::printf("%s %s\n", this->program.c_str(), kVersion);
       std::exit(0);
     }
-    if (found < kFirstOption) {
-      this->faults.push_back(std::string(aWords[optind - 1]) +
-                             ": no such flag, or its value is missing");
+    if (code < kFirstOptionCode) {
+      this->errors.push_back(std::string(aArguments[optind - 1]) +
+                             ": unknown flag or missing value");
       continue;
     }
     Option& option =
-        this->options[static_cast<std::size_t>(found - kFirstOption)];
-    this->TakeValue(option, optarg == nullptr ? "" : optarg,
-                    "--" + option.name);
+        this->options[static_cast<std::size_t>(code - kFirstOptionCode)];
+    this->ApplyValue(option, optarg == nullptr ? "" : optarg,
+                     "--" + option.name);
   }
   this->ReadEnvironment();
-  if (!this->faults.empty()) {
-    std::string all;
-    for (const std::string& fault : this->faults) {
-      all += this->program + ": " + fault + "\n";
+  if (!this->errors.empty()) {
+    std::string message;
+    for (const std::string& error : this->errors) {
+      message += this->program + ": " + error + "\n";
     }
-    return Fail(ErrorKind::BadRequest, all);
+    return Fail(ErrorKind::BadRequest, message);
   }
-  return std::vector<std::string>(aWords + optind, aWords + aCount);
+  return std::vector<std::string>(aArguments + optind, aArguments + aCount);
 }
 
 std::vector<std::string> ReadOrExit(SettingsReader& aReader, int aCount,
-                                    char** aWords) {
-  const auto words = aReader.Read(aCount, aWords);
-  if (!words) {
-    std::fprintf(stderr, "%sTry --help.\n", words.error().message.c_str());
-    std::exit(kBadUsage);
+                                    char** aArguments) {
+  const auto arguments = aReader.Read(aCount, aArguments);
+  if (!arguments) {
+    std::fprintf(stderr, "%sTry --help.\n", arguments.error().message.c_str());
+    std::exit(kUsageErrorStatus);
   }
-  return *words;
+  return *arguments;
 }
 
 }  // namespace zincstep
--- a/Zincstep/Settings/SettingsReader.h
+++ b/Zincstep/Settings/SettingsReader.h
@@ -11,70 +11,72 @@
 
 /// Reads settings from flags and environment variables, flags first.
 ///
-/// A program names each setting once, with its default and meaning; the
-/// reader makes the help, reads flags by getopt_long, takes what is missing
-/// from variables named ZINCSTEP_ and the flag's name, and collects every
-/// fault, so that an operator mends them in one go.
+/// A program declares each setting once, with its default and a description.
+/// The reader generates the help text, parses flags with getopt_long, and reads
+/// a missing flag from the environment variable ZINCSTEP_<FLAG>. It collects
+/// all errors, so that an operator can fix them in one pass.
 class SettingsReader {
  public:
-  /// `aUsage` is what stands behind the program's name in the help.
+  /// `aUsage` follows the program's name in the help text.
   SettingsReader(std::string aProgram, std::string aUsage);
 
-  /// A text; faulty where it is `aRequired` and missing.
-  void Text(const char* aName, std::string& aTarget, const char* aMeaning,
+  /// Declares a string; an error where it is `aRequired` and missing.
+  void Text(const char* aName, std::string& aTarget, const char* aDescription,
             bool aRequired = false);
-  /// A whole number in [aLow, aHigh].
-  void Integer(const char* aName, std::int64_t& aTarget, std::int64_t aLow,
-               std::int64_t aHigh, const char* aMeaning);
-  /// A number in [aLow, aHigh].
-  void Number(const char* aName, double& aTarget, double aLow, double aHigh,
-              const char* aMeaning);
-  /// A span, written in whole milliseconds.
-  void Millis(const char* aName, Micros& aTarget, std::int64_t aLow,
-              std::int64_t aHigh, const char* aMeaning);
-  /// A flag without a value.
-  void Flag(const char* aName, bool& aTarget, const char* aMeaning);
-  /// An address, written host:port.
-  void Address(const char* aName, std::string& aTarget, const char* aMeaning,
-               bool aRequired = false);
+  /// Declares an integer in [aMin, aMax].
+  void Integer(const char* aName, std::int64_t& aTarget, std::int64_t aMin,
+               std::int64_t aMax, const char* aDescription);
+  /// Declares a number in [aMin, aMax].
+  void Number(const char* aName, double& aTarget, double aMin, double aMax,
+              const char* aDescription);
+  /// Declares a duration in [aMin, aMax], in integer milliseconds.
+  void Millis(const char* aName, Micros& aTarget, std::int64_t aMin,
+              std::int64_t aMax, const char* aDescription);
+  /// Declares a boolean: a flag without a value, or 1, true, 0 or false in the
+  /// environment.
+  void Flag(const char* aName, bool& aTarget, const char* aDescription);
+  /// Declares an address, written host:port.
+  void Address(const char* aName, std::string& aTarget,
+               const char* aDescription, bool aRequired = false);
 
-  /// Reads everything. Gives the words that are no flags.
+  /// Parses all settings and returns the positional arguments.
   ///
-  /// Prints the help or the version and ends the process where asked to;
-  /// fails with all faults in the message, a line each.
-  Result<std::vector<std::string>> Read(int aCount, char** aWords);
+  /// Prints the help text or the version and exits for --help and --version.
+  /// Fails with `BadRequest` and all errors in the message, one per line.
+  Result<std::vector<std::string>> Read(int aCount, char** aArguments);
 
-  /// The help text.
+  /// Returns the help text.
   std::string Help() const;
 
  private:
   struct Option {
     std::string name;
-    std::string meaning;
-    std::string shown;
-    bool takesValue = true;
-    bool required = false;
+    std::string description;
+    std::string defaultText;
+    bool hasValue = true;
+    bool isRequired = false;
     bool isSet = false;
-    /// Takes a value; gives what was expected where it is faulty.
-    std::function<std::string(const std::string&)> take;
+    /// Parses and stores a value; returns what was expected if it is invalid,
+    /// or an empty string.
+    std::function<std::string(const std::string&)> parse;
   };
 
   void Add(Option aOption);
-  void TakeValue(Option& aOption, const std::string& aValue,
-                 const std::string& aFrom);
+  void ApplyValue(Option& aOption, const std::string& aValue,
+                  const std::string& aSource);
   void ReadEnvironment();
 
   std::string program;
   std::string usage;
   std::vector<Option> options;
-  std::vector<std::string> faults;
+  std::vector<std::string> errors;
 };
 
-/// Version of all programs of this tree.
+/// Version of all programs in this source tree.
 inline constexpr const char* kVersion = "0.1.0";
 
-/// Reads settings in `main`; ends the process with status 2 on faults.
+/// Reads the settings in `main`; exits with status 2 on errors.
 std::vector<std::string> ReadOrExit(SettingsReader& aReader, int aCount,
-                                    char** aWords);
+                                    char** aArguments);
 
 }  // namespace zincstep
