--- a/Zincstep/Telemetry/Log.cpp
+++ b/Zincstep/Telemetry/Log.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Lines that wait for a slow reader of the log; past them the oldest go.
-constexpr std::size_t kQueuedLines = 4096;
+/// Maximum number of queued lines; when full, the oldest are dropped.
+constexpr std::size_t kMaxQueuedLines = 4096;
 
 void Write(spdlog::level::level_enum aLevel, const char* aEvent,
            const nlohmann::json& aFields) {
@@ -21,7 +21,8 @@
   fields["event"] = aEvent;
   const std::string text =
       fields.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-  // The pattern opens the object; the fields follow without their brace.
+  // The pattern set in StartLog opens the object, so that the opening brace of
+  // the fields is omitted.
   spdlog::log(aLevel, "{}", std::string_view(text).substr(1));
 }
 
@@ -29,8 +30,8 @@
 
 bool StartLog(const std::string& aProgram, const std::string& aLevel) {
   const auto level = spdlog::level::from_str(aLevel);
-  const bool known = level != spdlog::level::off || aLevel == "off";
-  spdlog::init_thread_pool(kQueuedLines, 1);
+  const bool isKnownLevel = level != spdlog::level::off || aLevel == "off";
+  spdlog::init_thread_pool(kMaxQueuedLines, 1);
   auto logger = std::make_shared<spdlog::async_logger>(
       aProgram, std::make_shared<spdlog::sinks::stdout_sink_mt>(),
       spdlog::thread_pool(), spdlog::async_overflow_policy::overrun_oldest);
@@ -41,7 +42,7 @@
   logger->set_level(level);
   logger->flush_on(spdlog::level::info);
   spdlog::set_default_logger(std::move(logger));
-  return known;
+  return isKnownLevel;
 }
 
 void StopLog() { spdlog::shutdown(); }
--- a/Zincstep/Telemetry/Log.h
+++ b/Zincstep/Telemetry/Log.h
@@ -5,20 +5,24 @@
 
 namespace zincstep {
 
-/// Starts the log: JSON lines on stdout from `aLevel` on.
+/// Starts the log: JSON lines on stdout, of severity `aLevel` and above.
 ///
-/// Lines are written by a thread of their own and never hold a caller up:
-/// where the reader is too slow, the oldest that wait are dropped.
+/// A background thread writes the lines, so that logging never blocks the
+/// caller; if stdout is too slow, the oldest queued lines are dropped.
 ///
-/// Levels are trace, debug, info, warn, error and off; false for others.
+/// Levels are trace, debug, info, warn, error and off; returns false for any
+/// other level.
 bool StartLog(const std::string& aProgram, const std::string& aLevel);
 
-/// Writes what waits and ends the log's thread; the last use of the log.
+/// Writes the queued lines and stops the log's thread. Nothing may be logged
+/// afterwards.
 void StopLog();
 
-/// Writes an event with its fields as one line.
+/// Logs an event with its fields as one line, with severity info.
 void LogInfo(const char* aEvent, const nlohmann::json& aFields = {});
+/// Logs an event with severity warn.
 void LogWarning(const char* aEvent, const nlohmann::json& aFields = {});
+/// Logs an event with severity error.
 void LogError(const char* aEvent, const nlohmann::json& aFields = {});
 
 }  // namespace zincstep
--- a/Zincstep/Telemetry/Metrics.cpp
+++ b/Zincstep/Telemetry/Metrics.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 
-/// From 50 us to 100 s in 40 bins: each is 1.44 times the one before.
+/// Histograms have 40 bins from 50 us to 100 s, each 1.44 times as wide as the
+/// one before.
 constexpr int kBins = 40;
-constexpr double kLeastSeconds = 50e-6;
-constexpr double kMostSeconds = 100;
+constexpr double kMinSeconds = 50e-6;
+constexpr double kMaxSeconds = 100;
 
 prometheus::ClientMetric WithLabels(const Metrics::Labels& aLabels) {
   prometheus::ClientMetric metric;
@@ -37,9 +38,9 @@
 void Metrics::Observe(const std::string& aName, double aSeconds) {
   auto found = this->histograms.find(aName);
   if (found == this->histograms.end()) {
-    Series series{boost::histogram::make_histogram(
-                      Axis(kBins, kLeastSeconds, kMostSeconds)),
-                  0, 0};
+    Series series{
+        boost::histogram::make_histogram(Axis(kBins, kMinSeconds, kMaxSeconds)),
+        0, 0};
     found = this->histograms.emplace(aName, std::move(series)).first;
   }
   found->second.histogram(aSeconds);
@@ -53,26 +54,26 @@
   if (family == this->counters.end()) {
     return 0;
   }
-  const auto row = family->second.find(aLabels);
-  return row == family->second.end() ? 0 : row->second;
+  const auto sample = family->second.find(aLabels);
+  return sample == family->second.end() ? 0 : sample->second;
 }
 
 std::string Metrics::Text() const {
   std::vector<prometheus::MetricFamily> families;
-  for (const auto& [name, rows] : this->counters) {
+  for (const auto& [name, samples] : this->counters) {
     prometheus::MetricFamily family{
         name, "", prometheus::MetricType::Counter, {}};
-    for (const auto& [labels, value] : rows) {
+    for (const auto& [labels, value] : samples) {
       prometheus::ClientMetric metric = WithLabels(labels);
       metric.counter.value = value;
       family.metric.push_back(metric);
     }
     families.push_back(std::move(family));
   }
-  for (const auto& [name, rows] : this->gauges) {
+  for (const auto& [name, samples] : this->gauges) {
     prometheus::MetricFamily family{
         name, "", prometheus::MetricType::Gauge, {}};
-    for (const auto& [labels, value] : rows) {
+    for (const auto& [labels, value] : samples) {
       prometheus::ClientMetric metric = WithLabels(labels);
       metric.gauge.value = value;
       family.metric.push_back(metric);
@@ -85,11 +86,11 @@
     prometheus::ClientMetric metric;
     metric.histogram.sample_count = series.count;
     metric.histogram.sample_sum = series.sum;
-    auto below = static_cast<std::uint64_t>(series.histogram.at(-1));
+    auto cumulativeCount = static_cast<std::uint64_t>(series.histogram.at(-1));
     for (int bin = 0; bin < kBins; ++bin) {
-      below += static_cast<std::uint64_t>(series.histogram.at(bin));
+      cumulativeCount += static_cast<std::uint64_t>(series.histogram.at(bin));
       metric.histogram.bucket.push_back(
-          {below, series.histogram.axis().bin(bin).upper()});
+          {cumulativeCount, series.histogram.axis().bin(bin).upper()});
     }
     metric.histogram.bucket.push_back(
         {series.count, std::numeric_limits<double>::infinity()});
--- a/Zincstep/Telemetry/Metrics.h
+++ b/Zincstep/Telemetry/Metrics.h
@@ -7,25 +7,25 @@
 
 namespace zincstep {
 
-/// Counters, gauges and latency histograms of one thread.
+/// Counters, gauges and latency histograms, for use by a single thread.
 ///
-/// Histograms are Boost.Histogram's, with logarithmic bins; the text is
-/// Prometheus' exposition format, written by prometheus-cpp.
+/// Histograms use Boost.Histogram with logarithmic bins; prometheus-cpp writes
+/// the Prometheus text exposition format.
 class Metrics {
  public:
   using Labels = std::map<std::string, std::string>;
 
-  /// Adds to a counter.
+  /// Adds `aAmount` to a counter.
   void Count(const std::string& aName, const Labels& aLabels = {},
              double aAmount = 1);
-  /// Sets a gauge.
+  /// Sets a gauge to `aValue`.
   void Set(const std::string& aName, double aValue, const Labels& aLabels = {});
-  /// Adds a sample, in seconds, to a histogram.
+  /// Adds a sample in seconds to a histogram.
   void Observe(const std::string& aName, double aSeconds);
 
-  /// All of them as text.
+  /// Returns all metrics in the Prometheus text exposition format.
   std::string Text() const;
-  /// A counter's value, 0 where it was never counted.
+  /// Returns the value of a counter; 0 if it was never incremented.
   double CounterValue(const std::string& aName,
                       const Labels& aLabels = {}) const;
 
--- a/Zincstep/Telemetry/Tracer.cpp
+++ b/Zincstep/Telemetry/Tracer.cpp
@@ -33,11 +33,12 @@
 
 TraceContext ReadTraceContext(std::string_view aHeader, Random& aRandom) {
   TraceContext context;
-  const bool wellFormed = aHeader.size() >= kHeaderSize && aHeader[2] == '-' &&
-                          aHeader[35] == '-' && aHeader[52] == '-' &&
-                          IsHex(aHeader.substr(3, kTraceDigits)) &&
-                          IsHex(aHeader.substr(36, kSpanDigits));
-  if (wellFormed) {
+  const bool isWellFormed = aHeader.size() >= kHeaderSize &&
+                            aHeader[2] == '-' && aHeader[35] == '-' &&
+                            aHeader[52] == '-' &&
+                            IsHex(aHeader.substr(3, kTraceDigits)) &&
+                            IsHex(aHeader.substr(36, kSpanDigits));
+  if (isWellFormed) {
     context.traceId = aHeader.substr(3, kTraceDigits);
     context.spanId = aHeader.substr(36, kSpanDigits);
     return context;
@@ -97,12 +98,12 @@
 }
 
 void Tracer::Write(const std::string& aName, const TraceContext& aParent,
-                   Micros aLength, nlohmann::json aAttributes) {
+                   Micros aDuration, nlohmann::json aAttributes) {
   if (this->file == nullptr) {
     return;
   }
   Span span = this->Begin(aName, aParent);
-  span.start -= aLength;
+  span.start -= aDuration;
   span.attributes = std::move(aAttributes);
   this->End(span);
 }
--- a/Zincstep/Telemetry/Tracer.h
+++ b/Zincstep/Telemetry/Tracer.h
@@ -10,21 +10,23 @@
 
 namespace zincstep {
 
-/// Place of a span in a trace, as W3C trace context writes it.
+/// Position of a span in a trace, as in W3C Trace Context.
 struct TraceContext {
   /// 32 hexadecimal digits.
   std::string traceId;
-  /// 16 hexadecimal digits; the parent of spans made from this context.
+  /// 16 hexadecimal digits: the parent of spans that begin in this context.
+  /// Empty in a new trace.
   std::string spanId;
 
-  /// The `traceparent` header for a call under this context.
+  /// Returns the `traceparent` header of a call in this context.
   std::string Header() const;
 };
 
-/// The context in a `traceparent` header; a new trace where it has none.
+/// Parses a `traceparent` header; starts a new trace if it is missing or
+/// malformed.
 TraceContext ReadTraceContext(std::string_view aHeader, Random& aRandom);
 
-/// A span that is under way.
+/// A span that has begun and not ended.
 struct Span {
   TraceContext context;
   std::string parentId;
@@ -33,32 +35,37 @@
   nlohmann::json attributes = nlohmann::json::object();
 };
 
-/// Writes spans as JSON lines in the field names of OTLP.
+/// Writes spans as JSON lines with the field names of OTLP.
 class Tracer {
  public:
-  /// Writes to `aPath`: a file, `-` for stderr, empty for nowhere.
+  /// Appends spans to the file `aPath`; `-` means stderr, and an empty path
+  /// disables tracing.
   Tracer(const std::string& aPath, const Clock& aClock, std::uint64_t aSeed);
   ~Tracer();
 
   Tracer(const Tracer&) = delete;
   Tracer& operator=(const Tracer&) = delete;
 
-  /// Begins a span under `aParent`.
+  /// Begins a span whose parent is `aParent`.
   Span Begin(const std::string& aName, const TraceContext& aParent);
-  /// Ends and writes a span.
+  /// Ends a span now and writes it.
   void End(Span& aSpan);
-  /// Writes a span that lasted `aLength` up to now.
+  /// Writes a span that began `aDuration` ago and ends now.
   void Write(const std::string& aName, const TraceContext& aParent,
-             Micros aLength, nlohmann::json aAttributes);
+             Micros aDuration, nlohmann::json aAttributes);
+  /// Returns the generator of trace and span ids.
   Random& GetRandom() { return this->random; }
+  /// Whether spans are written.
   bool IsOn() const { return this->file != nullptr; }
 
  private:
+  /// Returns nanoseconds since 1970.
   std::int64_t WallNanos(Instant aInstant) const;
 
   const Clock& clock;
   Random random;
   std::FILE* file = nullptr;
+  /// Wall clock minus `clock`, in microseconds.
   std::int64_t wallOffset = 0;
 };
 
