--- a/Zincstep/Platform/HttpPlatform.cpp
+++ b/Zincstep/Platform/HttpPlatform.cpp
@@ -14,34 +14,36 @@
 constexpr int kNotFound = 404;
 constexpr int kConflict = 409;
 constexpr int kNotModified = 304;
-constexpr Micros kReadPause = 100ms;
+/// Delay before the first retry of a read; grows linearly with each attempt.
+constexpr Micros kReadRetryDelay = 100ms;
 
-/// Calls to the platform, and the reading of its answers.
+/// Sends calls to the platform and parses its responses.
 class HttpPlatform {
  public:
   explicit HttpPlatform(PlatformSettings aSettings)
       : settings(std::move(aSettings)) {}
 
   HttpCallResult Call(const std::string& aMethod, const std::string& aPath,
-                      std::string aBody, Micros aExtra = 0us) const {
+                      std::string aBody, Micros aExtraTimeout = 0us) const {
     HttpCall call;
     call.method = aMethod;
     call.url = "http://" + this->settings.address + aPath;
     call.headers = {{"User-Agent", this->settings.userAgent}};
     call.body = std::move(aBody);
-    call.timeout = this->settings.timeout + aExtra;
+    call.timeout = this->settings.timeout + aExtraTimeout;
     return FetchBlocking(call);
   }
 
   static tl::unexpected<Error> Unavailable(const HttpCallResult& aResult) {
-    const std::string why = aResult.fault.empty()
-                                ? "status " + std::to_string(aResult.status)
-                                : aResult.fault;
+    const std::string reason = aResult.fault.empty()
+                                   ? "status " + std::to_string(aResult.status)
+                                   : aResult.fault;
     return Fail(ErrorKind::PlatformUnavailable,
-                "the key-value service gave no answer: " + why);
+                "the key-value service did not respond: " + reason);
   }
 
-  /// Runs `aRead` on the body of an answer.
+  /// Runs `aRead` on the JSON body of a response with status 200; any other
+  /// outcome fails with `PlatformUnavailable`.
   template <class T, class Read>
   static Result<T> ReadResponse(const HttpCallResult& aResult, Read aRead) {
     if (aResult.end != CallEnd::Answered || aResult.status != kOk) {
@@ -49,8 +51,8 @@
     }
     try {
       return aRead(Json::parse(aResult.body));
-    } catch (const Json::exception& fault) {
-      return Fail(ErrorKind::PlatformUnavailable, fault.what());
+    } catch (const Json::exception& error) {
+      return Fail(ErrorKind::PlatformUnavailable, error.what());
     }
   }
 
@@ -69,7 +71,7 @@
       : platform(std::move(aSettings)) {}
 
   Result<std::optional<StoredValue>> Get(const std::string& aKey) override {
-    return Optional(this->platform.Call("GET", "/v1/kv/" + aKey, ""));
+    return ReadOptional(this->platform.Call("GET", "/v1/kv/" + aKey, ""));
   }
 
   Result<std::vector<KeyedValue>> List(const std::string& aPrefix) override {
@@ -111,7 +113,7 @@
     if (result.end == CallEnd::Answered && result.status == kConflict) {
       return false;
     }
-    const Result<void> done = Nothing(result);
+    const Result<void> done = CheckStatus(result);
     if (!done) {
       return tl::unexpected(done.error());
     }
@@ -131,9 +133,9 @@
     const auto result =
         this->platform.Call("PUT", "/v1/leases/" + std::to_string(aLease), "");
     if (result.end == CallEnd::Answered && result.status == kNotFound) {
-      return Fail(ErrorKind::LeaseLost, "the lease has lapsed");
+      return Fail(ErrorKind::LeaseLost, "the lease has expired");
     }
-    return Nothing(result);
+    return CheckStatus(result);
   }
 
   Result<std::optional<StoredValue>> Watch(const std::string& aKey,
@@ -142,11 +144,11 @@
     const std::string path = "/v1/watch/" + aKey +
                              "?after=" + std::to_string(aAfter) +
                              "&wait_ms=" + std::to_string(aWait.count() / 1000);
-    return Optional(this->platform.Call("GET", path, "", aWait));
+    return ReadOptional(this->platform.Call("GET", path, "", aWait));
   }
 
  private:
-  static Result<std::optional<StoredValue>> Optional(
+  static Result<std::optional<StoredValue>> ReadOptional(
       const HttpCallResult& aResult) {
     if (aResult.end == CallEnd::Answered && aResult.status == kNotFound) {
       return std::optional<StoredValue>();
@@ -158,7 +160,7 @@
                                                                   read);
   }
 
-  static Result<void> Nothing(const HttpCallResult& aResult) {
+  static Result<void> CheckStatus(const HttpCallResult& aResult) {
     if (aResult.end != CallEnd::Answered || aResult.status != kOk) {
       return HttpPlatform::Unavailable(aResult);
     }
@@ -190,44 +192,46 @@
     const std::string path = "/v1/vms?after=" + std::to_string(this->revision);
     const auto result = this->platform.Call("GET", path, "");
     if (result.end == CallEnd::Answered && result.status == kNotModified) {
-      return this->last;
+      return this->lastList;
     }
-    std::uint64_t newRevision = 0;
-    const auto read = [&newRevision](const Json& aJson) {
+    std::uint64_t listRevision = 0;
+    const auto read = [&listRevision](const Json& aJson) {
       std::vector<VmEntry> entries;
       for (const Json& item : aJson.at("vms")) {
         entries.push_back(VmFromJson(item));
       }
-      newRevision = aJson.at("revision").get<std::uint64_t>();
+      listRevision = aJson.at("revision").get<std::uint64_t>();
       return entries;
     };
     auto list = HttpPlatform::ReadResponse<std::vector<VmEntry>>(result, read);
     if (list) {
-      this->last = *list;
-      this->revision = newRevision;
+      this->lastList = *list;
+      this->revision = listRevision;
     }
     return list;
   }
 
  private:
   HttpPlatform platform;
-  /// The list is some hundred kilobytes and changes every few minutes: it
-  /// is sent only when it is not the one that was read last.
+  /// Revision of `lastList`. The list has some hundred kilobytes and changes
+  /// every few minutes, so that the platform sends it only if it has changed
+  /// since.
   std::uint64_t revision = 0;
-  std::vector<VmEntry> last;
+  std::vector<VmEntry> lastList;
 };
 
-/// Tries reads again; writes are the caller's matter.
-class PersistentReads final : public KeyValueStore {
+/// Retries failed reads. Writes are not retried, as they may have taken effect;
+/// the caller handles them.
+class RetryingReads final : public KeyValueStore {
  public:
-  PersistentReads(std::unique_ptr<KeyValueStore> aStore, int aTries)
-      : store(std::move(aStore)), tries(aTries) {}
+  RetryingReads(std::unique_ptr<KeyValueStore> aStore, int aMaxAttempts)
+      : store(std::move(aStore)), maxAttempts(aMaxAttempts) {}
 
   Result<std::optional<StoredValue>> Get(const std::string& aKey) override {
-    return this->Again([&] { return this->store->Get(aKey); });
+    return this->Retry([&] { return this->store->Get(aKey); });
   }
   Result<std::vector<KeyedValue>> List(const std::string& aPrefix) override {
-    return this->Again([&] { return this->store->List(aPrefix); });
+    return this->Retry([&] { return this->store->List(aPrefix); });
   }
   Result<std::optional<std::uint64_t>> CompareAndSwap(const std::string& aKey,
                                                       std::uint64_t aExpected,
@@ -252,18 +256,18 @@
   }
 
  private:
-  template <class Step>
-  auto Again(Step aStep) -> decltype(aStep()) {
-    auto result = aStep();
-    for (int i = 1; i < this->tries && !result; ++i) {
-      std::this_thread::sleep_for(kReadPause * i);
-      result = aStep();
+  template <class Read>
+  auto Retry(Read aRead) -> decltype(aRead()) {
+    auto result = aRead();
+    for (int i = 1; i < this->maxAttempts && !result; ++i) {
+      std::this_thread::sleep_for(kReadRetryDelay * i);
+      result = aRead();
     }
     return result;
   }
 
   std::unique_ptr<KeyValueStore> store;
-  int tries;
+  int maxAttempts;
 };
 
 }  // namespace
@@ -274,8 +278,8 @@
 }
 
 std::unique_ptr<KeyValueStore> MakeRetryingReads(
-    std::unique_ptr<KeyValueStore> aStore, int aTries) {
-  return std::make_unique<PersistentReads>(std::move(aStore), aTries);
+    std::unique_ptr<KeyValueStore> aStore, int aMaxAttempts) {
+  return std::make_unique<RetryingReads>(std::move(aStore), aMaxAttempts);
 }
 
 std::unique_ptr<VmList> MakeHttpVmList(PlatformSettings aSettings) {
--- a/Zincstep/Platform/KeyValueStore.h
+++ b/Zincstep/Platform/KeyValueStore.h
@@ -10,7 +10,7 @@
 
 namespace zincstep {
 
-/// A value with the store's revision of its last change.
+/// A value with the store revision of its last change.
 struct StoredValue {
   std::string value;
   std::uint64_t revision = 0;
@@ -22,61 +22,64 @@
   StoredValue stored;
 };
 
+/// Id of a lease; the platform assigns it.
 using LeaseId = std::uint64_t;
 
 /// The platform's small key-value service.
 ///
-/// Each call may fail with `PlatformUnavailable`. For a write that means
-/// that nobody knows whether it took effect: the answer may have been
-/// lost on its way, so that the writer must find out from the store.
+/// Each call may fail with `PlatformUnavailable`. A write that fails so may
+/// have taken effect, since only the response may have been lost; the writer
+/// must read the store to find out.
 class KeyValueStore {
  public:
   virtual ~KeyValueStore() = default;
 
-  /// The value at `aKey`, or none where there is no such key.
+  /// Returns the value at `aKey`, or none if the key does not exist.
   virtual Result<std::optional<StoredValue>> Get(const std::string& aKey) = 0;
-  /// All keys that begin with `aPrefix`.
+  /// Returns all keys that begin with `aPrefix`, with their values.
   virtual Result<std::vector<KeyedValue>> List(const std::string& aPrefix) = 0;
-  /// Writes if the key's revision is still `aExpected` (0: no such key).
+  /// Writes if the key's revision is still `aExpected` (0: the key must not
+  /// exist).
   ///
-  /// Gives the new revision, or none where the key has changed. With a
-  /// lease the key goes when the lease does.
+  /// Returns the new revision, or none if the key has changed. A key with a
+  /// lease is removed when the lease ends.
   virtual Result<std::optional<std::uint64_t>> CompareAndSwap(
       const std::string& aKey, std::uint64_t aExpected,
       const std::string& aValue, LeaseId aLease) = 0;
   /// Removes the key if its revision is still `aExpected`.
   ///
-  /// Gives false where the key has changed or is gone.
+  /// Returns false if the key has changed or was removed.
   virtual Result<bool> Remove(const std::string& aKey,
                               std::uint64_t aExpected) = 0;
-  /// Grants a lease that lapses after `aTtl` without renewal.
+  /// Grants a lease that expires after `aTtl` without renewal.
   virtual Result<LeaseId> GrantLease(Micros aTtl) = 0;
-  /// Renews a lease; fails with `LeaseLost` where it has lapsed.
+  /// Renews a lease; fails with `LeaseLost` if it has expired.
   virtual Result<void> RenewLease(LeaseId aLease) = 0;
-  /// Waits until the key's revision passes `aAfter`, at most `aWait`.
+  /// Waits up to `aWait` until the key's revision exceeds `aAfter`.
   ///
-  /// Gives none where it did not change in that time.
+  /// Returns none if it did not change in that time.
   virtual Result<std::optional<StoredValue>> Watch(const std::string& aKey,
                                                    std::uint64_t aAfter,
                                                    Micros aWait) = 0;
 };
 
-/// What runs on a VM of the platform's list.
+/// Role of a VM in the platform's list.
 enum class VmRole { Entry, Upstream };
 
+/// Names of the roles in the platform's responses.
 inline constexpr NameTable<VmRole, 2> kVmRoleNames{{
     {VmRole::Entry, "entry"},
     {VmRole::Upstream, "upstream"},
 }};
 
-/// One VM in the platform's list, which lags.
+/// One VM in the platform's list, which may lag behind the real state.
 struct VmEntry {
   std::string name;
   std::string failureDomain;
   VmRole role = VmRole::Entry;
-  /// Where callers or the system reach it.
+  /// Address for callers (entry daemons) or for the daemons (upstreams).
   std::string address;
-  /// Where other entry daemons reach it; empty for upstreams.
+  /// Address for other entry daemons; empty for upstreams.
   std::string peerAddress;
   bool leaving = false;
 };
@@ -86,27 +89,28 @@
  public:
   virtual ~VmList() = default;
 
-  /// The whole list.
+  /// Returns the full list.
   virtual Result<std::vector<VmEntry>> List() = 0;
 };
 
-/// Where the platform is reached.
+/// How to reach the platform.
 struct PlatformSettings {
-  /// Host and port.
+  /// Written host:port.
   std::string address;
-  /// Name of the caller, such as `zincstep-entry/hall-a`.
+  /// User-Agent header, such as `zincstep-entry/hall-a`.
   std::string userAgent = "zincstep/";
+  /// Timeout of a call, in addition to the wait of a watch.
   Micros timeout = 3s;
 };
 
-/// The service over HTTP.
+/// Creates an HTTP client of the key-value service.
 std::unique_ptr<KeyValueStore> MakeHttpKeyValueStore(
     PlatformSettings aSettings);
-/// A store whose reads are tried up to `aTries` times, for a client whose
-/// user waits; daemons come back by themselves.
+/// Wraps a store so that `Get` and `List` are attempted up to `aMaxAttempts`
+/// times. For the client, whose user waits; daemons retry by themselves.
 std::unique_ptr<KeyValueStore> MakeRetryingReads(
-    std::unique_ptr<KeyValueStore> aStore, int aTries);
-/// The list over HTTP.
+    std::unique_ptr<KeyValueStore> aStore, int aMaxAttempts);
+/// Creates an HTTP client of the VM list.
 std::unique_ptr<VmList> MakeHttpVmList(PlatformSettings aSettings);
 
 }  // namespace zincstep
