--- a/Client/Commands.cpp
+++ b/Client/Commands.cpp
@@ -17,15 +17,15 @@
 using Json = nlohmann::json;
 
 constexpr Micros kProgressInterval = 200ms;
-constexpr int kReadTries = 6;
+constexpr int kMaxReadAttempts = 6;
 
-PlatformSettings PlatformOf(const ClientSettings& aSettings) {
+PlatformSettings MakePlatformSettings(const ClientSettings& aSettings) {
   PlatformSettings settings;
   settings.address = aSettings.platform;
   return settings;
 }
 
-/// A name for one write that no other writer uses.
+/// Returns a unique name for the writer of one write.
 std::string MakeWriterName() {
   std::random_device device;
   char name[64];
@@ -43,12 +43,12 @@
   return list;
 }
 
-std::string LayersText(const Json& aLayers) {
+std::string FormatLayers(const Json& aLayers) {
   return std::to_string(aLayers.at(0).get<int>()) + "-" +
          std::to_string(aLayers.at(1).get<int>());
 }
 
-std::string Rounded(double aValue) {
+std::string FormatDecimal(double aValue) {
   char text[32];
   std::snprintf(text, sizeof text, "%.1f", aValue);
   return text;
@@ -58,39 +58,42 @@
 
 Commands::Commands(ClientSettings aSettings)
     : settings(std::move(aSettings)),
-      store(MakeRetryingReads(MakeHttpKeyValueStore(PlatformOf(this->settings)),
-                              kReadTries)),
+      store(MakeRetryingReads(
+          MakeHttpKeyValueStore(MakePlatformSettings(this->settings)),
+          kMaxReadAttempts)),
       configurations(*this->store) {}
 
-ExitStatus Commands::Run(const std::vector<std::string>& aWords) {
-  const std::string command = aWords.empty() ? "" : aWords[0];
+ExitStatus Commands::Run(const std::vector<std::string>& aArguments) {
+  const std::string command = aArguments.empty() ? "" : aArguments[0];
   const bool takesFile =
       command == "check" || command == "diff" || command == "apply";
-  const std::size_t wanted = takesFile || command == "explain" ? 2 : 1;
-  if (aWords.size() != wanted) {
+  const std::size_t expectedArguments =
+      takesFile || command == "explain" ? 2 : 1;
+  if (aArguments.size() != expectedArguments) {
     std::fprintf(stderr, "zincstep: expected a command%s. Try --help.\n",
-                 wanted == 2 ? " with one word behind it" : "");
+                 expectedArguments == 2 ? " with one argument" : "");
     return ExitStatus::Usage;
   }
   if (command == "check") {
-    return this->Check(aWords[1]);
+    return this->Check(aArguments[1]);
   }
-  const bool asksDaemon = command == "upstreams" || command == "chains" ||
-                          command == "organisations" || command == "explain" ||
-                          command == "drain" || command == "daemon";
-  if (asksDaemon && this->settings.daemon.empty()) {
+  const bool queriesDaemon = command == "upstreams" || command == "chains" ||
+                             command == "organisations" ||
+                             command == "explain" || command == "drain" ||
+                             command == "daemon";
+  if (queriesDaemon && this->settings.daemon.empty()) {
     std::fprintf(stderr, "zincstep: %s needs --daemon\n", command.c_str());
     return ExitStatus::Usage;
   }
-  if (!asksDaemon && this->settings.platform.empty()) {
+  if (!queriesDaemon && this->settings.platform.empty()) {
     std::fprintf(stderr, "zincstep: %s needs --platform\n", command.c_str());
     return ExitStatus::Usage;
   }
   if (command == "diff") {
-    return this->Diff(aWords[1]);
+    return this->Diff(aArguments[1]);
   }
   if (command == "apply") {
-    return this->Apply(aWords[1]);
+    return this->Apply(aArguments[1]);
   }
   if (command == "get") {
     return this->Get();
@@ -111,10 +114,10 @@
     return this->Chains();
   }
   if (command == "daemon") {
-    return this->AskDaemon("/v1/status");
+    return this->QueryDaemon("/v1/status");
   }
   if (command == "explain") {
-    return this->AskDaemon("/v1/explain?request=" + aWords[1]);
+    return this->QueryDaemon("/v1/explain?request=" + aArguments[1]);
   }
   if (command == "drain") {
     return this->Drain();
@@ -124,7 +127,7 @@
   return ExitStatus::Usage;
 }
 
-Result<std::string> Commands::ReadChecked(const std::string& aFile) {
+Result<std::string> Commands::ReadValidFile(const std::string& aFile) {
   std::ifstream file(aFile);
   if (!file) {
     return Fail(ErrorKind::BadRequest, "cannot read " + aFile);
@@ -135,15 +138,15 @@
   if (parsed.IsValid()) {
     return text.str();
   }
-  std::string all = aFile + " is not valid:";
-  for (const ConfigurationError& fault : parsed.errors) {
-    all += "\n  " + fault.Describe();
+  std::string message = aFile + " is not valid:";
+  for (const ConfigurationError& error : parsed.errors) {
+    message += "\n  " + error.Describe();
   }
-  return Fail(ErrorKind::ConfigInvalid, all);
+  return Fail(ErrorKind::ConfigInvalid, message);
 }
 
 ExitStatus Commands::Check(const std::string& aFile) {
-  const Result<std::string> yaml = this->ReadChecked(aFile);
+  const Result<std::string> yaml = this->ReadValidFile(aFile);
   if (!yaml) {
     return PrintError(yaml.error());
   }
@@ -168,7 +171,7 @@
 }
 
 ExitStatus Commands::Diff(const std::string& aFile) {
-  const Result<std::string> yaml = this->ReadChecked(aFile);
+  const Result<std::string> yaml = this->ReadValidFile(aFile);
   if (!yaml) {
     return PrintError(yaml.error());
   }
@@ -184,17 +187,17 @@
 }
 
 void Commands::ExplainConflict(const StoredConfiguration* aBase) {
-  const auto now = this->configurations.Load(nullptr);
-  if (!now || !*now) {
+  const auto current = this->configurations.Load(nullptr);
+  if (!current || !*current) {
     return;
   }
   const ConfigurationPieces before =
       aBase == nullptr ? ConfigurationPieces{} : aBase->pieces;
-  const auto changes = CompareConfigurations(before, (*now)->pieces);
+  const auto changes = CompareConfigurations(before, (*current)->pieces);
   std::fprintf(stderr,
-               "zincstep: revision %llu is accepted now; since the base of "
-               "this application it changed:\n",
-               static_cast<unsigned long long>((*now)->root.revision));
+               "zincstep: revision %llu is accepted now; changes since the "
+               "base of this apply:\n",
+               static_cast<unsigned long long>((*current)->root.revision));
   for (const ConfigurationChange& change : changes) {
     const auto name = NameIn(kChangeNames, change.kind);
     std::fprintf(stderr, "  %-8.*s %s\n", static_cast<int>(name.size()),
@@ -203,7 +206,7 @@
 }
 
 ExitStatus Commands::Apply(const std::string& aFile) {
-  const Result<std::string> yaml = this->ReadChecked(aFile);
+  const Result<std::string> yaml = this->ReadValidFile(aFile);
   if (!yaml) {
     return PrintError(yaml.error());
   }
@@ -211,14 +214,15 @@
   if (!stored) {
     return PrintError(stored.error());
   }
-  const std::uint64_t present = *stored ? (*stored)->root.revision : 0;
-  const bool baseFits =
+  const std::uint64_t acceptedRevision = *stored ? (*stored)->root.revision : 0;
+  const bool isBaseCurrent =
       this->settings.base < 0 ||
-      static_cast<std::uint64_t>(this->settings.base) == present;
-  if (!baseFits) {
+      static_cast<std::uint64_t>(this->settings.base) == acceptedRevision;
+  if (!isBaseCurrent) {
     return PrintError({ErrorKind::ConfigConflict,
-                       "the accepted revision is " + std::to_string(present) +
-                           ", not " + std::to_string(this->settings.base),
+                       "the accepted revision is " +
+                           std::to_string(acceptedRevision) + ", not " +
+                           std::to_string(this->settings.base),
                        {}});
   }
   const ConfigurationPieces before =
@@ -242,12 +246,12 @@
   } else {
     std::printf("revision %llu %s\n",
                 static_cast<unsigned long long>(outcome->revision),
-                outcome->unchanged ? "is accepted already" : "is accepted");
+                outcome->unchanged ? "is already accepted" : "is accepted");
   }
-  return this->WaitInForce(outcome->revision);
+  return this->WaitUntilActive(outcome->revision);
 }
 
-Result<std::vector<DomainStatus>> Commands::Domains() {
+Result<std::vector<DomainStatus>> Commands::ReadDomains() {
   const auto values = this->store->List(kStatusPrefix);
   if (!values) {
     return tl::unexpected(values.error());
@@ -262,35 +266,36 @@
   return domains;
 }
 
-ExitStatus Commands::WaitInForce(std::uint64_t aRevision) {
+ExitStatus Commands::WaitUntilActive(std::uint64_t aRevision) {
   const SystemClock clock;
-  const Instant end = clock.Now() + this->settings.wait;
-  const bool shows = isatty(STDOUT_FILENO) != 0 && !this->settings.json;
+  const Instant deadline = clock.Now() + this->settings.wait;
+  const bool showsProgress = isatty(STDOUT_FILENO) != 0 && !this->settings.json;
   while (this->settings.wait > 0us) {
-    const auto domains = this->Domains();
-    std::size_t all = 0;
-    std::size_t done = 0;
+    const auto domains = this->ReadDomains();
+    std::size_t total = 0;
+    std::size_t active = 0;
     for (const DomainStatus& domain :
          domains.value_or(std::vector<DomainStatus>())) {
       for (const DaemonStatus& daemon : domain.daemons) {
-        all += 1;
-        done += daemon.revision >= aRevision ? 1 : 0;
+        total += 1;
+        active += daemon.revision >= aRevision ? 1 : 0;
       }
     }
-    if (shows) {
-      std::printf("\rin force on %zu of %zu daemons", done, all);
+    if (showsProgress) {
+      std::printf("\ractive on %zu of %zu daemons", active, total);
       std::fflush(stdout);
     }
-    if (all > 0 && done == all) {
+    if (total > 0 && active == total) {
       if (!this->settings.json) {
-        std::printf("%sin force on all %zu daemons\n", shows ? "\r" : "", all);
+        std::printf("%sactive on all %zu daemons\n", showsProgress ? "\r" : "",
+                    total);
       }
       return ExitStatus::Ok;
     }
-    if (clock.Now() >= end) {
-      std::fprintf(stderr, "\nzincstep: in force on %zu of %zu daemons\n", done,
-                   all);
-      return ExitStatus::NotInForce;
+    if (clock.Now() >= deadline) {
+      std::fprintf(stderr, "\nzincstep: active on %zu of %zu daemons\n", active,
+                   total);
+      return ExitStatus::NotActive;
     }
     std::this_thread::sleep_for(kProgressInterval);
   }
@@ -303,7 +308,8 @@
     return PrintError(stored.error());
   }
   if (!*stored) {
-    return PrintError({ErrorKind::BadRequest, "no file was applied yet", {}});
+    return PrintError(
+        {ErrorKind::BadRequest, "no file has been applied yet", {}});
   }
   const Result<std::string> file = JoinConfiguration((*stored)->pieces);
   if (!file) {
@@ -317,14 +323,14 @@
 
 ExitStatus Commands::Status() {
   const auto root = this->store->Get(kRootKey);
-  const auto domains = this->Domains();
+  const auto domains = this->ReadDomains();
   if (!root || !domains) {
     return PrintError(root ? domains.error() : root.error());
   }
   std::uint64_t revision = 0;
   if (*root) {
-    const auto read = ReadRoot((*root)->value);
-    revision = read ? read->revision : 0;
+    const auto parsedRoot = ReadRoot((*root)->value);
+    revision = parsedRoot ? parsedRoot->revision : 0;
   }
   if (this->settings.json) {
     Json list = Json::array();
@@ -350,7 +356,7 @@
   table.Print();
   for (const DomainStatus& domain : *domains) {
     for (const auto& [upstream, reason] : domain.stuck) {
-      std::printf("\n%s: %s is not as declared: %s",
+      std::printf("\n%s: %s does not match its declaration: %s",
                   domain.failureDomain.c_str(), upstream.c_str(),
                   reason.c_str());
     }
@@ -364,13 +370,15 @@
   if (!unused) {
     return PrintError(unused.error());
   }
-  // A writer that is between its pieces and its root ends within this.
+  // Lets a writer that has written its pieces but not yet its root finish, so
+  // that its pieces are not removed.
   std::this_thread::sleep_for(this->settings.wait);
-  const auto left = this->configurations.CollectUnused(*unused);
-  if (!left) {
-    return PrintError(left.error());
+  const auto stillUnused = this->configurations.CollectUnused(*unused);
+  if (!stillUnused) {
+    return PrintError(stillUnused.error());
   }
-  std::printf("removed %zu unused pieces\n", unused->size() - left->size());
+  std::printf("removed %zu unused pieces\n",
+              unused->size() - stillUnused->size());
   return ExitStatus::Ok;
 }
 
@@ -382,7 +390,7 @@
   const HttpCallResult result = FetchBlocking(call);
   if (result.end != CallEnd::Answered) {
     return Fail(ErrorKind::PlatformUnavailable,
-                this->settings.daemon + " gave no answer: " + result.fault);
+                this->settings.daemon + " did not respond: " + result.fault);
   }
   Json json = Json::parse(result.body, nullptr, false);
   if (result.status != 200 || !json.is_object()) {
@@ -391,7 +399,7 @@
   return json;
 }
 
-ExitStatus Commands::AskDaemon(const std::string& aPath) {
+ExitStatus Commands::QueryDaemon(const std::string& aPath) {
   const Result<Json> json = this->Fetch("GET", aPath);
   if (!json) {
     return PrintError(json.error());
@@ -421,11 +429,12 @@
 
 ExitStatus Commands::Upstreams() {
   const auto fill = [](const Json& aJson, Table& aTable) {
-    for (const Json& one : aJson.at("upstreams")) {
-      aTable.Add({one.at("name"), one.at("model"), one.at("failure_domain"),
-                  one.at("kind"), LayersText(one.at("layers")),
-                  one.at("version"), one.at("state"),
-                  Rounded(one.at("sequences")), Rounded(one.at("step_ratio"))});
+    for (const Json& item : aJson.at("upstreams")) {
+      aTable.Add({item.at("name"), item.at("model"), item.at("failure_domain"),
+                  item.at("kind"), FormatLayers(item.at("layers")),
+                  item.at("version"), item.at("state"),
+                  FormatDecimal(item.at("sequences")),
+                  FormatDecimal(item.at("step_ratio"))});
     }
   };
   return this->Show(
@@ -437,10 +446,11 @@
 
 ExitStatus Commands::Organisations() {
   const auto fill = [](const Json& aJson, Table& aTable) {
-    for (const Json& one : aJson.at("organisations")) {
-      aTable.Add({one.at("name"), Rounded(one.at("weight")), one.at("priority"),
-                  Rounded(one.at("tokens_per_second")),
-                  Rounded(one.at("tokens_served"))});
+    for (const Json& item : aJson.at("organisations")) {
+      aTable.Add({item.at("name"), FormatDecimal(item.at("weight")),
+                  item.at("priority"),
+                  FormatDecimal(item.at("tokens_per_second")),
+                  FormatDecimal(item.at("tokens_served"))});
     }
   };
   return this->Show(
@@ -453,15 +463,16 @@
   const auto fill = [](const Json& aJson, Table& aTable) {
     for (const Json& model : aJson.at("chains")) {
       for (const Json& path : model.at("paths")) {
-        std::string way;
+        std::string route;
         for (const Json& hop : path.at("hops")) {
-          way += (way.empty() ? "" : " > ") + LayersText(hop.at("layers")) +
-                 " " + hop.at("first_of_group").get<std::string>() + "(" +
-                 std::to_string(hop.at("members").get<int>()) + ")";
+          route += (route.empty() ? "" : " > ") +
+                   FormatLayers(hop.at("layers")) + " " +
+                   hop.at("first_of_group").get<std::string>() + "(" +
+                   std::to_string(hop.at("members").get<int>()) + ")";
         }
         aTable.Add({model.at("model"), model.at("version"),
-                    Rounded(path.at("tokens_per_second")),
-                    Rounded(path.at("step_ms")), way});
+                    FormatDecimal(path.at("tokens_per_second")),
+                    FormatDecimal(path.at("step_ms")), route});
       }
     }
   };
@@ -475,7 +486,7 @@
   if (!json) {
     return PrintError(json.error());
   }
-  std::printf("%s is stopping: it ends what it has begun\n",
+  std::printf("%s is stopping: it finishes the requests it has begun\n",
               this->settings.daemon.c_str());
   return ExitStatus::Ok;
 }
--- a/Client/Commands.h
+++ b/Client/Commands.h
@@ -10,13 +10,16 @@
 
 /// Settings of the operators' client.
 struct ClientSettings {
+  /// Address of the platform's services, written host:port.
   std::string platform;
-  /// Operators' address of a daemon, for commands that ask one.
+  /// Operators' address of a daemon, for commands that query one.
   std::string daemon;
+  /// Whether to print JSON instead of text.
   bool json = false;
-  /// Base revision that an application expects; -1 takes the present one.
+  /// Revision that `apply` expects to be accepted; -1 for any.
   std::int64_t base = -1;
-  /// Time to wait until an application is in force everywhere.
+  /// Time that `apply` waits until the revision is active on all daemons, and
+  /// `collect` between its two passes.
   Micros wait = 10s;
 };
 
@@ -25,8 +28,8 @@
  public:
   explicit Commands(ClientSettings aSettings);
 
-  /// Runs the command that the words name.
-  ExitStatus Run(const std::vector<std::string>& aWords);
+  /// Runs the command named by the first argument.
+  ExitStatus Run(const std::vector<std::string>& aArguments);
 
  private:
   ExitStatus Check(const std::string& aFile);
@@ -36,19 +39,19 @@
   ExitStatus Status();
   ExitStatus Collect();
   ExitStatus Drain();
-  ExitStatus AskDaemon(const std::string& aPath);
-  /// Shows a daemon's list: as JSON, or as the table that `aFill` fills.
+  ExitStatus QueryDaemon(const std::string& aPath);
+  /// Prints a list of a daemon as JSON or as a table; `aFill` adds the rows.
   template <class Fill>
   ExitStatus Show(const std::string& aPath, Table aTable, Fill aFill);
   ExitStatus Upstreams();
   ExitStatus Organisations();
   ExitStatus Chains();
 
-  Result<std::string> ReadChecked(const std::string& aFile);
-  Result<std::vector<DomainStatus>> Domains();
+  Result<std::string> ReadValidFile(const std::string& aFile);
+  Result<std::vector<DomainStatus>> ReadDomains();
   Result<nlohmann::json> Fetch(const std::string& aMethod,
                                const std::string& aPath);
-  ExitStatus WaitInForce(std::uint64_t aRevision);
+  ExitStatus WaitUntilActive(std::uint64_t aRevision);
   void PrintChanges(const std::vector<ConfigurationChange>& aChanges);
   void ExplainConflict(const StoredConfiguration* aBase);
 
--- a/Client/Console.cpp
+++ b/Client/Console.cpp
@@ -5,8 +5,8 @@
 
 namespace zincstep::client {
 
-Table::Table(std::vector<std::string> aHeads) {
-  this->rows.push_back(std::move(aHeads));
+Table::Table(std::vector<std::string> aHeaders) {
+  this->rows.push_back(std::move(aHeaders));
 }
 
 void Table::Add(std::vector<std::string> aCells) {
--- a/Client/Console.h
+++ b/Client/Console.h
@@ -11,41 +11,42 @@
 /// Exit statuses that scripts can rely on.
 enum class ExitStatus {
   Ok = 0,
-  /// The command failed, and nothing has changed.
+  /// The command failed and changed nothing.
   Failed = 1,
-  /// The command line is wrong.
+  /// The command line is invalid.
   Usage = 2,
   /// The file is not valid.
   Invalid = 3,
-  /// Another file was accepted in between.
+  /// Another file was accepted in the meantime.
   Conflict = 4,
-  /// The platform or a daemon cannot be reached; a write is not known.
+  /// The platform or a daemon is unreachable; a write may have taken effect.
   Unavailable = 5,
-  /// Accepted, and not in force everywhere in the time that was given.
-  NotInForce = 6,
+  /// Accepted, but not active on all daemons within the wait time.
+  NotActive = 6,
   /// `diff` found differences.
   Different = 7,
 };
 
-/// A table for people.
+/// A human-readable table.
 class Table {
  public:
-  explicit Table(std::vector<std::string> aHeads);
+  /// `aHeaders` are the column headers.
+  explicit Table(std::vector<std::string> aHeaders);
 
-  /// Adds a row; it has as many cells as there are heads.
+  /// Adds a row with one cell per column header.
   void Add(std::vector<std::string> aCells);
-  /// Prints it to stdout with aligned columns.
+  /// Prints the table to stdout with aligned columns.
   void Print() const;
 
  private:
   std::vector<std::vector<std::string>> rows;
 };
 
-/// Prints JSON on a line.
+/// Prints JSON to stdout on one line.
 void PrintJson(const nlohmann::json& aJson);
-/// Prints a fault to stderr and gives the status for its kind.
+/// Prints an error to stderr and returns the exit status of its kind.
 ExitStatus PrintError(const Error& aError);
-/// `aMicros` since 1970 as seconds ago, or `never`.
+/// Formats a time in microseconds since 1970 as seconds ago; 0 as `never`.
 std::string AgeOf(std::int64_t aMicros);
 
 }  // namespace zincstep::client
