--- a/UnitTests/LocalDomain.cpp
+++ b/UnitTests/LocalDomain.cpp
@@ -10,7 +10,7 @@
 using Json = nlohmann::json;
 
 constexpr int kLayers = 12;
-constexpr auto kPatience = std::chrono::seconds(60);
+constexpr auto kEventuallyTimeout = std::chrono::seconds(60);
 
 standins::EngineStandInSettings SettingsOf(const EngineSpec& aSpec) {
   standins::EngineStandInSettings settings;
@@ -117,8 +117,8 @@
   settings.vmListInterval = 100ms;
   settings.memberListInterval = 300ms;
   settings.drainGrace = 100ms;
-  settings.watchWait = 100ms;
-  settings.settle = 200ms;
+  settings.watchTimeout = 100ms;
+  settings.settleTime = 200ms;
   settings.readTimeout = 2s;
   settings.seed = static_cast<std::int64_t>(Hash64(aVm) >> 1);
   return settings;
@@ -156,7 +156,7 @@
 }
 
 bool LocalDomain::Eventually(const std::function<bool()>& aDone) {
-  const auto end = std::chrono::steady_clock::now() + kPatience;
+  const auto end = std::chrono::steady_clock::now() + kEventuallyTimeout;
   while (std::chrono::steady_clock::now() < end) {
     if (aDone()) {
       return true;
@@ -246,8 +246,8 @@
                     std::move(aHeaders));
 }
 
-std::string LocalDomain::RightText(const std::string& aPrompt,
-                                   int aTokens) const {
+std::string LocalDomain::ExpectedText(const std::string& aPrompt,
+                                      int aTokens) const {
   const standins::LayerMath math("demo", "v1", "");
   std::string text;
   for (const std::int32_t token : math.Answer(kLayers, aPrompt, aTokens)) {
--- a/UnitTests/LocalDomain.h
+++ b/UnitTests/LocalDomain.h
@@ -14,7 +14,7 @@
 
 namespace zincstep {
 
-/// A stand-in that runs on a thread of its own until it is destroyed.
+/// A stand-in that runs on its own thread until it is destroyed.
 template <class StandIn>
 class Running {
  public:
@@ -44,7 +44,7 @@
   std::thread thread;
 };
 
-/// One engine of a local domain.
+/// Settings of one engine of a local domain.
 struct EngineSpec {
   std::string name;
   LayerRange layers;
@@ -53,57 +53,60 @@
   bool checksFence = false;
 };
 
-/// Real daemons before stand-ins, in this process, on ephemeral ports.
+/// Real daemons in front of stand-ins, in this process, on ephemeral ports.
 ///
-/// Engines are of one model of 12 layers. The key is `test-key`, the
-/// organisation `tester`, the service `ledger` under `/ledger/`.
+/// All engines serve one model of 12 layers. The bearer key is `test-key`, the
+/// organisation `tester`, and the service `ledger` under `/ledger/`.
 class LocalDomain {
  public:
   explicit LocalDomain(std::vector<EngineSpec> aEngines,
                        std::vector<std::string> aDomains = {"hall-a"});
   ~LocalDomain();
 
-  /// Starts a daemon and waits until it is ready and members are agreed.
+  /// Starts a daemon, lists its VM and waits until the daemon is ready.
   EntryDaemon& AddDaemon(const std::string& aVm,
                          const std::string& aDomain = "hall-a");
-  /// Writes the operators' file as it is now; gives its revision.
+  /// Applies the current configuration file; returns its revision.
   std::uint64_t Apply();
-  /// Kills an engine: its port is closed from then on.
+  /// Kills an engine and closes its port.
   void KillEngine(const std::string& aName);
-  /// Sets an engine's faults, as JSON.
+  /// Injects faults into an engine, as JSON.
   void EngineFault(const std::string& aName, const std::string& aJson);
-  /// Sets the service's faults, as JSON.
+  /// Injects faults into the service, as JSON.
   void ServiceFault(const std::string& aJson);
-  /// Sets the platform's faults, as JSON.
+  /// Injects faults into the platform, as JSON.
   void PlatformFault(const std::string& aJson);
-  /// Puts an upstream into the VM list.
+  /// Adds an upstream to the VM list, or updates it.
   void ListUpstream(const std::string& aName, bool aLeaving);
-  /// Waits until all daemons know of this many members.
+  /// Waits until the newest member list of every daemon has `aMembers` members.
   void WaitMembers(std::size_t aMembers);
 
-  /// A call to a daemon, with the test's key unless headers say other.
+  /// Calls a daemon, with the test's bearer key unless `aHeaders` has another.
   HttpCallResult Call(const EntryDaemon& aDaemon, const std::string& aMethod,
                       const std::string& aPath, const std::string& aBody,
                       HttpHeaders aHeaders = {});
-  /// A call to a daemon's operators' address.
+  /// Sends a GET request to a daemon's operators' API.
   nlohmann::json Admin(const EntryDaemon& aDaemon, const std::string& aPath);
-  /// Asks for an answer and gives its result.
+  /// Sends a completion request and returns its result.
   HttpCallResult Complete(const EntryDaemon& aDaemon,
                           const std::string& aPrompt, int aTokens,
                           HttpHeaders aHeaders = {});
-  /// Text that a right answer has.
-  std::string RightText(const std::string& aPrompt, int aTokens) const;
-  /// How often the service has run each call.
+  /// Returns the text of the correct answer.
+  std::string ExpectedText(const std::string& aPrompt, int aTokens) const;
+  /// Returns how many times the service has run each call.
   nlohmann::json Runs();
-  /// Load that an engine reports.
+  /// Returns the sequences that an engine reports, or -1 if it does not
+  /// respond.
   double EngineLoadOf(const std::string& aName);
 
+  /// Returns settings of a daemon with short intervals.
   EntrySettings BaseSettings(const std::string& aVm,
                              const std::string& aDomain) const;
+  /// The configuration file, for changes before `Apply`.
   std::string& File() { return this->file; }
   std::vector<std::unique_ptr<EntryDaemon>>& Daemons() { return this->daemons; }
 
-  /// Waits until `aDone` says yes; false after a generous time.
+  /// Polls `aDone` until it returns true; returns false after 60 s.
   static bool Eventually(const std::function<bool()>& aDone);
 
  private:
--- a/UnitTests/ModelRequestTest.cpp
+++ b/UnitTests/ModelRequestTest.cpp
@@ -30,46 +30,46 @@
 
 class ModelRequestTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ModelRequestTest);
-  CPPUNIT_TEST(Answer_ThroughThreeStages_IsRight);
+  CPPUNIT_TEST(Answer_ThroughThreeStages_IsCorrect);
   CPPUNIT_TEST(Answer_Streamed_HasEventsAndEnd);
-  CPPUNIT_TEST(Answer_WithDuplicatesLateAndForeign_IsRight);
-  CPPUNIT_TEST(Stage_KilledInMidAnswer_AnswerIsRight);
-  CPPUNIT_TEST(Stage_HangsInMidAnswer_AnswerIsRight);
-  CPPUNIT_TEST(Stage_LinkSlows_AnswerIsRight);
-  CPPUNIT_TEST(TwoStages_KilledAtOnce_AnswerIsRight);
-  CPPUNIT_TEST(AllHolders_OfARangeDead_IsRefusedAsNotRun);
-  CPPUNIT_TEST(Caller_GoesAway_FreesAllStages);
-  CPPUNIT_TEST(Key_Repeated_GetsTheSameAnswer);
+  CPPUNIT_TEST(Answer_DuplicateLateAndForeignSteps_IsCorrect);
+  CPPUNIT_TEST(Stage_KilledDuringAnswer_AnswerIsCorrect);
+  CPPUNIT_TEST(Stage_HangsDuringAnswer_AnswerIsCorrect);
+  CPPUNIT_TEST(Stage_LinkSlows_AnswerIsCorrect);
+  CPPUNIT_TEST(TwoStages_KilledAtOnce_AnswerIsCorrect);
+  CPPUNIT_TEST(AllUpstreams_OfRangeDead_IsRefusedAsNotRun);
+  CPPUNIT_TEST(Caller_Disconnects_FreesAllStages);
+  CPPUNIT_TEST(Key_Repeated_GetsSameResponse);
   CPPUNIT_TEST(Upstream_Leaving_GetsNoNewWork);
   CPPUNIT_TEST_SUITE_END();
 
   LocalDomain domain{TwoOfEach()};
   EntryDaemon& daemon{this->domain.AddDaemon("entry-1")};
 
-  /// Starts a long answer and waits until engines work on it.
-  std::future<HttpCallResult> BeginLong() {
+  /// Starts a long request and waits until engines are working on it.
+  std::future<HttpCallResult> StartLongRequest() {
     auto answer = std::async(std::launch::async, [this] {
       return this->domain.Complete(this->daemon, "A long order", 200);
     });
-    CPPUNIT_ASSERT(
-        LocalDomain::Eventually([this] { return !this->Busy().empty(); }));
+    CPPUNIT_ASSERT(LocalDomain::Eventually(
+        [this] { return !this->BusyEngines().empty(); }));
     return answer;
   }
 
-  /// Engines that hold a sequence, by the daemon's own count.
-  std::vector<std::string> Busy() {
-    std::vector<std::string> busy;
+  /// Returns the engines with a sequence of this daemon, by its own count.
+  std::vector<std::string> BusyEngines() {
+    std::vector<std::string> engines;
     const Json views = this->domain.Admin(this->daemon, "/v1/upstreams");
-    for (const Json& one : views.at("upstreams")) {
-      if (one.at("own").get<int>() > 0) {
-        busy.push_back(one.at("name"));
+    for (const Json& upstream : views.at("upstreams")) {
+      if (upstream.at("own").get<int>() > 0) {
+        engines.push_back(upstream.at("name"));
       }
     }
-    return busy;
+    return engines;
   }
 
-  std::string BusyWith(char aLetter) {
-    for (const std::string& name : this->Busy()) {
+  std::string FindBusyEngine(char aLetter) {
+    for (const std::string& name : this->BusyEngines()) {
       if (name[0] == aLetter) {
         return name;
       }
@@ -77,12 +77,12 @@
     return "";
   }
 
-  void CheckLong(std::future<HttpCallResult>& aAnswer) {
-    CPPUNIT_ASSERT_EQUAL(this->domain.RightText("A long order", 200),
-                         TextOf(aAnswer.get()));
+  void CheckLongAnswer(std::future<HttpCallResult>& aResponse) {
+    CPPUNIT_ASSERT_EQUAL(this->domain.ExpectedText("A long order", 200),
+                         TextOf(aResponse.get()));
   }
 
-  double Metric(const std::string& aName) {
+  double ReadMetric(const std::string& aName) {
     HttpCall call;
     call.url = "http://" + this->daemon.Settings().adminListen + "/metrics";
     const std::string text = FetchBlocking(call).body;
@@ -93,10 +93,10 @@
   }
 
  public:
-  void Answer_ThroughThreeStages_IsRight() {
+  void Answer_ThroughThreeStages_IsCorrect() {
     const auto result = this->domain.Complete(this->daemon, "Ten loaves", 30);
     CPPUNIT_ASSERT_EQUAL(200, result.status);
-    CPPUNIT_ASSERT_EQUAL(this->domain.RightText("Ten loaves", 30),
+    CPPUNIT_ASSERT_EQUAL(this->domain.ExpectedText("Ten loaves", 30),
                          TextOf(result));
   }
 
@@ -111,51 +111,51 @@
          (at = result.body.find("data: ", at)) != std::string::npos; ++at) {
       events += 1;
     }
-    // Five tokens, the end, and the mark that all is over.
+    // Five tokens, the end event and the `[DONE]` marker.
     CPPUNIT_ASSERT_EQUAL(std::size_t{7}, events);
     CPPUNIT_ASSERT(result.body.ends_with("data: [DONE]\n\n"));
   }
 
-  void Answer_WithDuplicatesLateAndForeign_IsRight() {
+  void Answer_DuplicateLateAndForeignSteps_IsCorrect() {
     for (const char* name : {"a1", "a2"}) {
       this->domain.EngineFault(name,
                                R"({"duplicate":0.3,"late":0.3,"foreign":0.3})");
     }
     const auto result = this->domain.Complete(this->daemon, "Ten loaves", 60);
-    CPPUNIT_ASSERT_EQUAL(this->domain.RightText("Ten loaves", 60),
+    CPPUNIT_ASSERT_EQUAL(this->domain.ExpectedText("Ten loaves", 60),
                          TextOf(result));
   }
 
-  void Stage_KilledInMidAnswer_AnswerIsRight() {
-    auto answer = this->BeginLong();
-    this->domain.KillEngine(this->BusyWith('b'));
-    this->CheckLong(answer);
-    CPPUNIT_ASSERT(this->Metric("zincstep_recoveries_total") >= 1);
+  void Stage_KilledDuringAnswer_AnswerIsCorrect() {
+    auto answer = this->StartLongRequest();
+    this->domain.KillEngine(this->FindBusyEngine('b'));
+    this->CheckLongAnswer(answer);
+    CPPUNIT_ASSERT(this->ReadMetric("zincstep_recoveries_total") >= 1);
   }
 
-  void Stage_HangsInMidAnswer_AnswerIsRight() {
-    auto answer = this->BeginLong();
-    this->domain.EngineFault(this->BusyWith('c'), R"({"stalled":true})");
-    this->CheckLong(answer);
-    CPPUNIT_ASSERT(this->Metric("zincstep_recoveries_total") >= 1);
+  void Stage_HangsDuringAnswer_AnswerIsCorrect() {
+    auto answer = this->StartLongRequest();
+    this->domain.EngineFault(this->FindBusyEngine('c'), R"({"stalled":true})");
+    this->CheckLongAnswer(answer);
+    CPPUNIT_ASSERT(this->ReadMetric("zincstep_recoveries_total") >= 1);
   }
 
-  void Stage_LinkSlows_AnswerIsRight() {
-    auto answer = this->BeginLong();
-    this->domain.EngineFault(this->BusyWith('a'), R"({"link_ms":60})");
-    this->CheckLong(answer);
+  void Stage_LinkSlows_AnswerIsCorrect() {
+    auto answer = this->StartLongRequest();
+    this->domain.EngineFault(this->FindBusyEngine('a'), R"({"link_ms":60})");
+    this->CheckLongAnswer(answer);
   }
 
-  void TwoStages_KilledAtOnce_AnswerIsRight() {
-    auto answer = this->BeginLong();
-    const std::string first = this->BusyWith('a');
-    const std::string last = this->BusyWith('c');
+  void TwoStages_KilledAtOnce_AnswerIsCorrect() {
+    auto answer = this->StartLongRequest();
+    const std::string first = this->FindBusyEngine('a');
+    const std::string last = this->FindBusyEngine('c');
     this->domain.KillEngine(first);
     this->domain.KillEngine(last);
-    this->CheckLong(answer);
+    this->CheckLongAnswer(answer);
   }
 
-  void AllHolders_OfARangeDead_IsRefusedAsNotRun() {
+  void AllUpstreams_OfRangeDead_IsRefusedAsNotRun() {
     this->domain.KillEngine("b1");
     this->domain.KillEngine("b2");
     HttpCallResult result;
@@ -168,7 +168,7 @@
     CPPUNIT_ASSERT(!FindHeader(result.headers, "Retry-After").empty());
   }
 
-  void Caller_GoesAway_FreesAllStages() {
+  void Caller_Disconnects_FreesAllStages() {
     HttpCall call;
     call.method = "POST";
     call.url = "http://" + this->daemon.Settings().listen + "/v1/completions";
@@ -176,8 +176,8 @@
     call.body = R"({"model":"demo","prompt":"x","max_tokens":400})";
     call.timeout = 300ms;
     CPPUNIT_ASSERT(FetchBlocking(call).end == CallEnd::TimedOut);
-    CPPUNIT_ASSERT(
-        LocalDomain::Eventually([this] { return this->Busy().empty(); }));
+    CPPUNIT_ASSERT(LocalDomain::Eventually(
+        [this] { return this->BusyEngines().empty(); }));
     CPPUNIT_ASSERT(LocalDomain::Eventually([this] {
       double all = 0;
       for (const char* name : {"a1", "a2", "b1", "b2", "c1", "c2"}) {
@@ -187,14 +187,14 @@
     }));
   }
 
-  void Key_Repeated_GetsTheSameAnswer() {
+  void Key_Repeated_GetsSameResponse() {
     this->domain.WaitMembers(1);
     const HttpHeaders key{{"Idempotency-Key", "draft-1"}};
     const auto first = this->domain.Complete(this->daemon, "Dear", 8, key);
-    const auto again = this->domain.Complete(this->daemon, "Dear", 8, key);
+    const auto repeated = this->domain.Complete(this->daemon, "Dear", 8, key);
     CPPUNIT_ASSERT_EQUAL(200, first.status);
-    CPPUNIT_ASSERT_EQUAL(first.body, again.body);
-    CPPUNIT_ASSERT(!FindHeader(again.headers, "zincstep-repeated").empty());
+    CPPUNIT_ASSERT_EQUAL(first.body, repeated.body);
+    CPPUNIT_ASSERT(!FindHeader(repeated.headers, "zincstep-repeated").empty());
     const auto reused = this->domain.Complete(this->daemon, "Other", 8, key);
     CPPUNIT_ASSERT_EQUAL(std::string("key_reused"), KindOf(reused));
   }
@@ -213,7 +213,7 @@
     }
     bool usedB1 = false;
     for (int i = 0; i < 20; ++i) {
-      for (const std::string& name : this->Busy()) {
+      for (const std::string& name : this->BusyEngines()) {
         usedB1 = usedB1 || name == "b1";
       }
     }
--- a/UnitTests/ServiceRequestTest.cpp
+++ b/UnitTests/ServiceRequestTest.cpp
@@ -19,14 +19,14 @@
 class ServiceRequestTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ServiceRequestTest);
   CPPUNIT_TEST(Order_KeyRepeatedAtOtherDaemon_RunsOnce);
-  CPPUNIT_TEST(Order_AnswerLost_MayHaveRunAndRunsOnce);
+  CPPUNIT_TEST(Order_ResponseLost_MayHaveRunAndRunsOnce);
   CPPUNIT_TEST(Order_RepeatedWhileRunning_RunsOnce);
   CPPUNIT_TEST(Order_AtBothDaemonsAtOnce_RunsOnce);
   CPPUNIT_TEST(Order_DuringPlatformOutage_RunsOnce);
   CPPUNIT_TEST(Order_WitnessesUnreachable_IsRefusedAsNotRun);
   CPPUNIT_TEST(Order_DaemonStopsInBetween_KeyIsRemembered);
-  CPPUNIT_TEST(Order_TimeOut_MayHaveRunAndRunsOnce);
-  CPPUNIT_TEST(Read_AnswerLost_IsTriedAgain);
+  CPPUNIT_TEST(Order_TimedOut_MayHaveRunAndRunsOnce);
+  CPPUNIT_TEST(Read_ServiceUnavailable_IsRetried);
   CPPUNIT_TEST(Service_Unreachable_IsRefusedAsNotRun);
   CPPUNIT_TEST(Service_OfOtherOrganisation_IsNotFound);
   CPPUNIT_TEST_SUITE_END();
@@ -70,47 +70,47 @@
   }
 
   void Order_KeyRepeatedAtOtherDaemon_RunsOnce() {
-    const auto one = this->Order(*this->first, "k1");
-    const auto two = this->Repeat(*this->second, "k1");
-    CPPUNIT_ASSERT_EQUAL(200, one.status);
-    CPPUNIT_ASSERT_EQUAL(200, two.status);
-    CPPUNIT_ASSERT_EQUAL(one.body, two.body);
+    const auto firstResult = this->Order(*this->first, "k1");
+    const auto secondResult = this->Repeat(*this->second, "k1");
+    CPPUNIT_ASSERT_EQUAL(200, firstResult.status);
+    CPPUNIT_ASSERT_EQUAL(200, secondResult.status);
+    CPPUNIT_ASSERT_EQUAL(firstResult.body, secondResult.body);
     CPPUNIT_ASSERT_EQUAL(1, this->RunsOf("k1"));
   }
 
-  void Order_AnswerLost_MayHaveRunAndRunsOnce() {
+  void Order_ResponseLost_MayHaveRunAndRunsOnce() {
     this->domain.ServiceFault(R"({"lose_answers":1})");
-    const auto one =
+    const auto firstResult =
         this->Order(*this->first, "k2", {{"zincstep-deadline-ms", "800"}});
-    CPPUNIT_ASSERT_EQUAL(std::string("may_have_run"), OutcomeOf(one));
-    const auto two = this->Order(*this->second, "k2");
-    CPPUNIT_ASSERT_EQUAL(std::string("may_have_run"), OutcomeOf(two));
+    CPPUNIT_ASSERT_EQUAL(std::string("may_have_run"), OutcomeOf(firstResult));
+    const auto secondResult = this->Order(*this->second, "k2");
+    CPPUNIT_ASSERT_EQUAL(std::string("may_have_run"), OutcomeOf(secondResult));
     CPPUNIT_ASSERT_EQUAL(1, this->RunsOf("k2"));
   }
 
   void Order_RepeatedWhileRunning_RunsOnce() {
     this->domain.ServiceFault(R"({"delay_ms":600})");
-    auto one = std::async(std::launch::async,
-                          [this] { return this->Order(*this->first, "k3"); });
-    const auto two = this->Order(*this->second, "k3");
-    // Whichever came first runs; the other one is told of it.
-    const auto result = one.get();
-    CPPUNIT_ASSERT((result.status == 200) != (two.status == 200));
-    const auto& told = result.status == 200 ? two : result;
-    CPPUNIT_ASSERT_EQUAL(std::string("may_have_run"), OutcomeOf(told));
+    auto firstResult = std::async(
+        std::launch::async, [this] { return this->Order(*this->first, "k3"); });
+    const auto secondResult = this->Order(*this->second, "k3");
+    // The first to arrive runs; the other gets the outcome `may_have_run`.
+    const auto result = firstResult.get();
+    CPPUNIT_ASSERT((result.status == 200) != (secondResult.status == 200));
+    const auto& duplicate = result.status == 200 ? secondResult : result;
+    CPPUNIT_ASSERT_EQUAL(std::string("may_have_run"), OutcomeOf(duplicate));
     CPPUNIT_ASSERT_EQUAL(1, this->RunsOf("k3"));
   }
 
   void Order_AtBothDaemonsAtOnce_RunsOnce() {
     for (int i = 0; i < 40; ++i) {
       const std::string key = "both-" + std::to_string(i);
-      auto one = std::async(std::launch::async,
-                            [&] { return this->Order(*this->first, key); });
-      const auto two = this->Order(*this->second, key);
-      const auto result = one.get();
+      auto firstResult = std::async(
+          std::launch::async, [&] { return this->Order(*this->first, key); });
+      const auto secondResult = this->Order(*this->second, key);
+      const auto result = firstResult.get();
       CPPUNIT_ASSERT(this->RunsOf(key) <= 1);
-      const bool anyRan = result.status == 200 || two.status == 200;
-      CPPUNIT_ASSERT_EQUAL(anyRan ? 1 : 0, this->RunsOf(key));
+      const bool hasRun = result.status == 200 || secondResult.status == 200;
+      CPPUNIT_ASSERT_EQUAL(hasRun ? 1 : 0, this->RunsOf(key));
     }
   }
 
@@ -122,7 +122,7 @@
   }
 
   void Order_WitnessesUnreachable_IsRefusedAsNotRun() {
-    // Two of three members are gone: no majority of three.
+    // Two of three members have stopped, so there is no majority.
     EntryDaemon& third = this->domain.AddDaemon("entry-3");
     this->domain.WaitMembers(3);
     this->domain.PlatformFault(R"({"outage":true})");
@@ -138,35 +138,36 @@
     CPPUNIT_ASSERT_EQUAL(200, this->Order(*this->second, "k6").status);
     this->second->RequestStop();
     this->second->Wait();
-    HttpCallResult again;
+    HttpCallResult repeated;
     CPPUNIT_ASSERT(LocalDomain::Eventually([&] {
-      again = this->Order(*this->first, "k6");
-      return again.status == 200;
+      repeated = this->Order(*this->first, "k6");
+      return repeated.status == 200;
     }));
-    CPPUNIT_ASSERT(!FindHeader(again.headers, "zincstep-repeated").empty());
+    CPPUNIT_ASSERT(!FindHeader(repeated.headers, "zincstep-repeated").empty());
     CPPUNIT_ASSERT_EQUAL(1, this->RunsOf("k6"));
   }
 
-  void Order_TimeOut_MayHaveRunAndRunsOnce() {
+  void Order_TimedOut_MayHaveRunAndRunsOnce() {
     this->domain.ServiceFault(R"({"delay_ms":700})");
-    const auto one =
+    const auto firstResult =
         this->Order(*this->first, "k7", {{"zincstep-deadline-ms", "300"}});
-    CPPUNIT_ASSERT_EQUAL_MESSAGE(one.body, 504, one.status);
-    CPPUNIT_ASSERT_EQUAL(std::string("may_have_run"), OutcomeOf(one));
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(firstResult.body, 504, firstResult.status);
+    CPPUNIT_ASSERT_EQUAL(std::string("may_have_run"), OutcomeOf(firstResult));
     CPPUNIT_ASSERT(
         LocalDomain::Eventually([this] { return this->RunsOf("k7") == 1; }));
-    const auto two = this->Order(*this->second, "k7");
-    CPPUNIT_ASSERT_EQUAL(std::string("may_have_run"), OutcomeOf(two));
+    const auto secondResult = this->Order(*this->second, "k7");
+    CPPUNIT_ASSERT_EQUAL(std::string("may_have_run"), OutcomeOf(secondResult));
     CPPUNIT_ASSERT_EQUAL(1, this->RunsOf("k7"));
   }
 
-  void Read_AnswerLost_IsTriedAgain() {
+  void Read_ServiceUnavailable_IsRetried() {
     this->domain.ServiceFault(R"({"outage":true})");
-    auto answer = std::async(std::launch::async, [this] {
+    auto response = std::async(std::launch::async, [this] {
       return this->domain.Call(*this->first, "GET", "/ledger/stock", "");
     });
-    // A 503 of the only replica: tried again, then passed on.
-    CPPUNIT_ASSERT_EQUAL(503, answer.get().status);
+    // The only replica responds with 503: retried, then forwarded to the
+    // caller.
+    CPPUNIT_ASSERT_EQUAL(503, response.get().status);
     this->domain.ServiceFault(R"({"outage":false})");
     CPPUNIT_ASSERT(LocalDomain::Eventually([this] {
       return this->domain.Call(*this->first, "GET", "/ledger/stock", "")
--- a/UnitTests/WrongInputTest.cpp
+++ b/UnitTests/WrongInputTest.cpp
@@ -6,7 +6,7 @@
 namespace zincstep {
 namespace {
 
-/// Sends raw bytes and gives all that comes back until the close.
+/// Sends raw bytes and returns everything received until the close.
 std::string SendRaw(const std::string& aAddress, const std::string& aBytes) {
   asio::io_context loop;
   asio::ip::tcp::socket socket(loop);
@@ -16,9 +16,9 @@
                   static_cast<std::uint16_t>(port)});
   asio::error_code error;
   asio::write(socket, asio::buffer(aBytes), error);
-  std::string answer;
-  asio::read(socket, asio::dynamic_buffer(answer), error);
-  return answer;
+  std::string response;
+  asio::read(socket, asio::dynamic_buffer(response), error);
+  return response;
 }
 
 class WrongInputTest : public CppUnit::TestFixture {
@@ -39,7 +39,7 @@
   CPPUNIT_TEST(Chunking_Malformed_Is400);
   CPPUNIT_TEST(RequestLine_Garbage_Is400);
   CPPUNIT_TEST(Body_TooSlow_Is408);
-  CPPUNIT_TEST(Others_DuringWrongInput_AreServed);
+  CPPUNIT_TEST(ValidRequests_DuringWrongInput_AreServed);
   CPPUNIT_TEST_SUITE_END();
 
   LocalDomain domain{{{"a1", {0, 12}}}};
@@ -48,7 +48,7 @@
   int StatusOf(const std::string& aBody, HttpHeaders aHeaders = {}) {
     const auto result = this->domain.Call(
         this->daemon, "POST", "/v1/completions", aBody, std::move(aHeaders));
-    // Each refusal says what it is and that nothing was run.
+    // Each refusal has an error object with the outcome `not_run`.
     const auto json = nlohmann::json::parse(result.body, nullptr, false);
     CPPUNIT_ASSERT(json.is_object() && json.contains("error"));
     CPPUNIT_ASSERT_EQUAL(std::string("not_run"),
@@ -136,30 +136,30 @@
     for (int i = 0; i < 5000; ++i) {
       request += "x-" + std::to_string(i) + ": flood\r\n";
     }
-    const std::string answer = this->Raw(request);
-    CPPUNIT_ASSERT(answer.starts_with("HTTP/1.1 431 "));
+    const std::string response = this->Raw(request);
+    CPPUNIT_ASSERT(response.starts_with("HTTP/1.1 431 "));
     this->CheckServes();
   }
   void Chunking_Malformed_Is400() {
-    const std::string answer = this->Raw(
+    const std::string response = this->Raw(
         "POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
         "Transfer-Encoding: chunked\r\n\r\nZZ\r\nabc\r\n");
-    CPPUNIT_ASSERT(answer.starts_with("HTTP/1.1 400 "));
-    CPPUNIT_ASSERT(answer.find("\"not_run\"") != std::string::npos);
+    CPPUNIT_ASSERT(response.starts_with("HTTP/1.1 400 "));
+    CPPUNIT_ASSERT(response.find("\"not_run\"") != std::string::npos);
     this->CheckServes();
   }
   void RequestLine_Garbage_Is400() {
-    const std::string answer = this->Raw("\x01\x02\x03 nonsense\r\n\r\n");
-    CPPUNIT_ASSERT(answer.starts_with("HTTP/1.1 400 "));
+    const std::string response = this->Raw("\x01\x02\x03 nonsense\r\n\r\n");
+    CPPUNIT_ASSERT(response.starts_with("HTTP/1.1 400 "));
     this->CheckServes();
   }
   void Body_TooSlow_Is408() {
-    const std::string answer = this->Raw(
+    const std::string response = this->Raw(
         "POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
         "Content-Length: 100\r\n\r\n{\"model");
-    CPPUNIT_ASSERT(answer.starts_with("HTTP/1.1 408 "));
+    CPPUNIT_ASSERT(response.starts_with("HTTP/1.1 408 "));
   }
-  void Others_DuringWrongInput_AreServed() {
+  void ValidRequests_DuringWrongInput_AreServed() {
     for (int i = 0; i < 5; ++i) {
       (void)this->Raw("POST / HTTP/1.1\r\nContent-Length: -5\r\n\r\n");
       this->CheckServes();
--- a/Zincstep/Entry/CallerRequest.cpp
+++ b/Zincstep/Entry/CallerRequest.cpp
@@ -13,18 +13,18 @@
 constexpr std::string_view kBearer = "Bearer ";
 constexpr std::size_t kMaxKeyBytes = 255;
 constexpr std::size_t kMaxMessages = 1024;
-constexpr int kMaxAskedTokens = 1'000'000;
+constexpr int kMaxRequestedTokens = 1'000'000;
 
 Result<const Organisation*> Authenticate(const HttpRequest& aRequest,
                                          const Snapshot& aSnapshot) {
   const std::string_view header = FindHeader(aRequest.headers, "Authorization");
   if (!header.starts_with(kBearer)) {
-    return Fail(ErrorKind::Unauthenticated, "a bearer key is needed");
+    return Fail(ErrorKind::Unauthenticated, "a bearer key is required");
   }
   const std::string hash = Sha256Hex(header.substr(kBearer.size()));
   const auto found = aSnapshot.byKey.find(hash);
   if (found == aSnapshot.byKey.end()) {
-    return Fail(ErrorKind::Unauthenticated, "the key is not known");
+    return Fail(ErrorKind::Unauthenticated, "unknown bearer key");
   }
   return found->second;
 }
@@ -39,17 +39,18 @@
   std::int64_t millis = 0;
   const auto read =
       std::from_chars(text.data(), text.data() + text.size(), millis);
-  const bool whole =
+  const bool isInteger =
       read.ec == std::errc() && read.ptr == text.data() + text.size();
-  if (!whole || millis <= 0 || millis > aLimits.maxDeadline.count() / 1000) {
+  if (!isInteger || millis <= 0 ||
+      millis > aLimits.maxDeadline.count() / 1000) {
     return Fail(ErrorKind::BadRequest,
-                "zincstep-deadline-ms: expected whole milliseconds up to " +
+                "zincstep-deadline-ms: expected an integer from 1 to " +
                     std::to_string(aLimits.maxDeadline.count() / 1000));
   }
   return Micros{millis * 1000};
 }
 
-/// The lower of what the organisation has and what the caller asks for.
+/// Returns the lower of the organisation's and the requested priority.
 Result<Priority> ReadPriority(const HttpRequest& aRequest,
                               const Organisation& aOrganisation) {
   const std::string_view text =
@@ -57,41 +58,43 @@
   if (text.empty()) {
     return aOrganisation.priority;
   }
-  const auto asked = ValueIn(kPriorityNames, text);
-  if (!asked) {
+  const auto requested = ValueIn(kPriorityNames, text);
+  if (!requested) {
     return Fail(ErrorKind::BadRequest,
                 "zincstep-priority: expected high, normal or low");
   }
-  return std::max(*asked, aOrganisation.priority);
+  return std::max(*requested, aOrganisation.priority);
 }
 
-Result<std::string> ReadText(const Json& aJson, const char* aKey) {
+Result<std::string> ReadString(const Json& aJson, const char* aKey) {
   const auto found = aJson.find(aKey);
   if (found == aJson.end() || !found->is_string()) {
-    return Fail(ErrorKind::BadRequest, std::string(aKey) + ": expected a text");
+    return Fail(ErrorKind::BadRequest,
+                std::string(aKey) + ": expected a string");
   }
   return found->get<std::string>();
 }
 
-/// A message's content: a text, or a list of parts of which texts count.
+/// Parses a message's content: a string, or a list of parts of type `text`,
+/// which are joined.
 Result<std::string> ReadContent(const Json& aMessage) {
   const auto content = aMessage.find("content");
   if (content != aMessage.end() && content->is_array()) {
-    std::string all;
+    std::string joined;
     for (const Json& part : *content) {
       if (!part.is_object() || part.value("type", "") != "text") {
         return Fail(ErrorKind::BadRequest,
-                    "messages: only parts of type text can be read");
+                    "messages: only parts of type text are supported");
       }
-      Result<std::string> text = ReadText(part, "text");
+      Result<std::string> text = ReadString(part, "text");
       if (!text) {
         return text;
       }
-      all += *text;
+      joined += *text;
     }
-    return all;
+    return joined;
   }
-  return ReadText(aMessage, "content");
+  return ReadString(aMessage, "content");
 }
 
 Result<std::string> ReadMessages(const Json& aJson) {
@@ -105,7 +108,7 @@
     if (!message.is_object()) {
       return Fail(ErrorKind::BadRequest, "messages: expected objects");
     }
-    const Result<std::string> role = ReadText(message, "role");
+    const Result<std::string> role = ReadString(message, "role");
     const Result<std::string> content = ReadContent(message);
     if (!role || !content) {
       return role ? content : role;
@@ -116,11 +119,11 @@
 }
 
 Result<int> ReadMaxTokens(const Json& aValue) {
-  const bool whole = aValue.is_number_integer();
-  const auto tokens = whole ? aValue.get<std::int64_t>() : 0;
-  if (tokens < 1 || tokens > kMaxAskedTokens) {
+  const bool isInteger = aValue.is_number_integer();
+  const auto tokens = isInteger ? aValue.get<std::int64_t>() : 0;
+  if (tokens < 1 || tokens > kMaxRequestedTokens) {
     return Fail(ErrorKind::BadRequest,
-                "max_tokens: expected a whole number from 1");
+                "max_tokens: expected a positive integer");
   }
   return static_cast<int>(tokens);
 }
@@ -128,14 +131,14 @@
 Result<CompletionRequest> ReadFields(const Json& aJson, bool aIsChat) {
   CompletionRequest request;
   request.isChat = aIsChat;
-  const Result<std::string> model = ReadText(aJson, "model");
+  const Result<std::string> model = ReadString(aJson, "model");
   const Result<std::string> prompt =
-      aIsChat ? ReadMessages(aJson) : ReadText(aJson, "prompt");
+      aIsChat ? ReadMessages(aJson) : ReadString(aJson, "prompt");
   if (!model || !prompt) {
     return tl::unexpected(model ? prompt.error() : model.error());
   }
   if (prompt->empty()) {
-    return Fail(ErrorKind::BadRequest, "prompt: expected a text");
+    return Fail(ErrorKind::BadRequest, "prompt: expected a non-empty string");
   }
   const std::size_t colon = model->find(':');
   request.model = model->substr(0, colon);
@@ -163,7 +166,7 @@
 
 }  // namespace
 
-Result<CallerInfo> ReadCallerFacts(const HttpRequest& aRequest,
+Result<CallerInfo> ParseCallerInfo(const HttpRequest& aRequest,
                                    const Snapshot& aSnapshot,
                                    const CallerLimits& aLimits, Instant aNow,
                                    Random& aRandom) {
@@ -180,18 +183,18 @@
   if (!priority) {
     return tl::unexpected(priority.error());
   }
-  CallerInfo facts;
-  facts.organisation = *organisation;
-  facts.priority = *priority;
-  facts.deadline = aNow + *deadline;
-  facts.idempotencyKey = FindHeader(aRequest.headers, "Idempotency-Key");
-  if (facts.idempotencyKey.size() > kMaxKeyBytes) {
+  CallerInfo info;
+  info.organisation = *organisation;
+  info.priority = *priority;
+  info.deadline = aNow + *deadline;
+  info.idempotencyKey = FindHeader(aRequest.headers, "Idempotency-Key");
+  if (info.idempotencyKey.size() > kMaxKeyBytes) {
     return Fail(ErrorKind::BadRequest,
                 "Idempotency-Key: expected at most 255 bytes");
   }
-  facts.trace =
+  info.trace =
       ReadTraceContext(FindHeader(aRequest.headers, "traceparent"), aRandom);
-  return facts;
+  return info;
 }
 
 Result<CompletionRequest> ReadCompletion(const std::string& aBody,
@@ -202,8 +205,8 @@
   }
   try {
     return ReadFields(json, aIsChat);
-  } catch (const Json::exception& fault) {
-    return Fail(ErrorKind::BadRequest, fault.what());
+  } catch (const Json::exception& error) {
+    return Fail(ErrorKind::BadRequest, error.what());
   }
 }
 
@@ -215,9 +218,9 @@
 }
 
 std::uint64_t RequestDigest(const HttpRequest& aRequest) {
-  const std::string all = aRequest.method + " " + aRequest.path + "?" +
-                          aRequest.query + "\n" + aRequest.body;
-  return Hash64(all);
+  const std::string joined = aRequest.method + " " + aRequest.path + "?" +
+                             aRequest.query + "\n" + aRequest.body;
+  return Hash64(joined);
 }
 
 }  // namespace zincstep
--- a/Zincstep/Entry/ClaimCoordinator.cpp
+++ b/Zincstep/Entry/ClaimCoordinator.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Micros kVoteTime = 400ms;
+constexpr Micros kVoteTimeout = 400ms;
 
 WitnessTableSettings WitnessSettings(const EntrySettings& aSettings) {
   WitnessTableSettings settings;
@@ -34,7 +34,7 @@
   claim.claimant = {this->context.member, aRequest};
   Round& round = this->rounds[aRequest];
   round.claim = std::make_unique<ClaimRound>(
-      claim, this->context.members, this->context.clock.Now() + kVoteTime);
+      claim, this->context.members, this->context.clock.Now() + kVoteTimeout);
   round.listener = &aListener;
   const std::vector<std::string> members = round.claim->PendingWitnesses();
   if (members.empty()) {
@@ -42,11 +42,12 @@
     return;
   }
   for (const std::string& member : members) {
-    this->Ask(aRequest, member);
+    this->RequestVote(aRequest, member);
   }
 }
 
-void ClaimCoordinator::Ask(std::uint64_t aRequest, const std::string& aMember) {
+void ClaimCoordinator::RequestVote(std::uint64_t aRequest,
+                                   const std::string& aMember) {
   const auto found = this->rounds.find(aRequest);
   if (found == this->rounds.end()) {
     return;
@@ -59,7 +60,7 @@
                                 ClaimOrderMessage::Step aStep,
                                 std::uint64_t aRound) {
   if (aMember == this->context.member) {
-    this->HandleOwn(aClaim, aStep, aRound);
+    this->HandleLocally(aClaim, aStep, aRound);
     return;
   }
   const std::string address = this->AddressOf(aMember);
@@ -75,9 +76,9 @@
   }
 }
 
-void ClaimCoordinator::HandleOwn(const Claim& aClaim,
-                                 ClaimOrderMessage::Step aStep,
-                                 std::uint64_t aRound) {
+void ClaimCoordinator::HandleLocally(const Claim& aClaim,
+                                     ClaimOrderMessage::Step aStep,
+                                     std::uint64_t aRound) {
   const Instant now = this->context.clock.Now();
   switch (aStep) {
     case ClaimOrderMessage::Step::Ask: {
@@ -118,7 +119,7 @@
   const auto found = this->rounds.find(aVote.round);
   const bool isGrant = aVote.vote.kind == ClaimVote::Kind::Granted;
   if (found == this->rounds.end()) {
-    // The round is over. A grant for a run that was not won goes back.
+    // The round is decided. A late grant is released unless the claim was won.
     if (isGrant && !this->won.contains(aVote.round)) {
       this->SendStep(aVote.vote.claim, aSender,
                      ClaimOrderMessage::Step::Release, aVote.round);
@@ -179,16 +180,17 @@
 }
 
 void ClaimCoordinator::Finish(std::uint64_t aRequest,
-                              const CachedResponse* aAnswer) {
+                              const CachedResponse* aResponse) {
   const auto found = this->won.find(aRequest);
   if (found == this->won.end()) {
     return;
   }
   Claim claim = found->second;
   this->won.erase(found);
-  claim.state = aAnswer == nullptr ? ClaimState::Unknown : ClaimState::Finished;
-  if (aAnswer != nullptr) {
-    claim.response = *aAnswer;
+  claim.state =
+      aResponse == nullptr ? ClaimState::Unknown : ClaimState::Finished;
+  if (aResponse != nullptr) {
+    claim.response = *aResponse;
   }
   if (claim.response.body.size() > kMaxCachedResponseBytes) {
     claim.response.body.clear();
@@ -201,13 +203,13 @@
 
 void ClaimCoordinator::OnTick(Instant aNow) {
   this->witness.Expire(aNow);
-  std::vector<std::uint64_t> late;
+  std::vector<std::uint64_t> expired;
   for (const auto& [request, round] : this->rounds) {
     if (round.claim->Deadline() <= aNow) {
-      late.push_back(request);
+      expired.push_back(request);
     }
   }
-  for (const std::uint64_t request : late) {
+  for (const std::uint64_t request : expired) {
     this->OnVerdict(request, this->rounds.at(request).claim->OnTimeout());
   }
 }
@@ -219,7 +221,7 @@
   if (aPeer == nullptr) {
     return true;
   }
-  // The table closes with the first copy: no vote can come after it.
+  // Closing the table makes the copy final: no vote can follow it.
   this->successor = aPeer->member;
   this->context.Send(
       aPeer->peerAddress,
--- a/Zincstep/Entry/ClaimResponse.cpp
+++ b/Zincstep/Entry/ClaimResponse.cpp
@@ -4,54 +4,56 @@
 
 namespace {
 
-Error RefusalOf(ClaimVerdict aVerdict, const Claim& aHolder,
-                std::uint64_t aDigest) {
+Error ErrorFor(ClaimVerdict aVerdict, const Claim& aOwner,
+               std::uint64_t aDigest) {
   if (aVerdict == ClaimVerdict::Full) {
-    return {ErrorKind::KeyMemoryFull, "no room to remember another key", {}};
+    return {ErrorKind::KeyMemoryFull,
+            "no memory left for another idempotency key",
+            {}};
   }
   if (aVerdict != ClaimVerdict::HeldByOther) {
     return {ErrorKind::KeyInDoubt,
-            "too few daemons could be asked whether the key was used",
+            "too few witnesses responded to determine whether the key was used",
             {}};
   }
-  if (aHolder.digest != aDigest) {
+  if (aOwner.digest != aDigest) {
     return {ErrorKind::KeyReused, "the key was used for another request", {}};
   }
-  if (aHolder.state == ClaimState::Finished) {
+  if (aOwner.state == ClaimState::Finished) {
     return {ErrorKind::KeyFinished,
-            "the request has run; its answer was too large to be kept",
+            "the request has run; its response was too large to be cached",
             {}};
   }
-  if (aHolder.state == ClaimState::Unknown) {
+  if (aOwner.state == ClaimState::Unknown) {
     Error error{ErrorKind::KeyInProgress,
-                "the request may have run; its answer is not known",
+                "the request may have run; its response is unknown",
                 {}};
     error.retryAfter = 0s;
     return error;
   }
-  return {ErrorKind::KeyInProgress, "the request is being run", {}};
+  return {ErrorKind::KeyInProgress, "the request is still running", {}};
 }
 
 }  // namespace
 
 void RespondToHeldClaim(EntryContext& aContext, ExchangeId aExchange,
-                        ClaimVerdict aVerdict, const Claim& aHolder,
+                        ClaimVerdict aVerdict, const Claim& aOwner,
                         std::uint64_t aDigest) {
-  const bool repeats = aVerdict == ClaimVerdict::HeldByOther &&
-                       aHolder.state == ClaimState::Finished &&
-                       aHolder.digest == aDigest &&
-                       !aHolder.response.isTruncated;
-  if (!repeats) {
-    aContext.Refuse(aExchange, RefusalOf(aVerdict, aHolder, aDigest));
+  const bool isRepeat = aVerdict == ClaimVerdict::HeldByOther &&
+                        aOwner.state == ClaimState::Finished &&
+                        aOwner.digest == aDigest &&
+                        !aOwner.response.isTruncated;
+  if (!isRepeat) {
+    aContext.Refuse(aExchange, ErrorFor(aVerdict, aOwner, aDigest));
     return;
   }
-  HttpResponse answer;
-  answer.status = aHolder.response.status;
-  answer.headers = {{"Content-Type", aHolder.response.contentType},
-                    {"zincstep-repeated", "true"}};
-  answer.body = aHolder.response.body;
+  HttpResponse response;
+  response.status = aOwner.response.status;
+  response.headers = {{"Content-Type", aOwner.response.contentType},
+                      {"zincstep-repeated", "true"}};
+  response.body = aOwner.response.body;
   aContext.metrics.Count("zincstep_repeats_answered_total");
-  aContext.callers.Respond(aExchange, std::move(answer));
+  aContext.callers.Respond(aExchange, std::move(response));
 }
 
 }  // namespace zincstep
--- a/Zincstep/Entry/ClaimResponse.h
+++ b/Zincstep/Entry/ClaimResponse.h
@@ -4,10 +4,12 @@
 
 namespace zincstep {
 
-/// Answers a request whose key was not won: the answer of the run that has
-/// it where that is kept, else the refusal that says what is known.
+/// Responds to a request whose claim was not won.
+///
+/// Sends the cached response of the run that owns the key if `aDigest` matches,
+/// otherwise the error for the state of that run.
 void RespondToHeldClaim(EntryContext& aContext, ExchangeId aExchange,
-                        ClaimVerdict aVerdict, const Claim& aHolder,
+                        ClaimVerdict aVerdict, const Claim& aOwner,
                         std::uint64_t aDigest);
 
 }  // namespace zincstep
--- a/Zincstep/Entry/ConfigWatcher.cpp
+++ b/Zincstep/Entry/ConfigWatcher.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr std::size_t kOffers = 64;
-constexpr Micros kLookInterval = 30s;
-constexpr Micros kFailurePause = 500ms;
-constexpr Micros kLongestFailurePause = 10s;
+constexpr std::size_t kMaxUpdates = 64;
+constexpr Micros kPollInterval = 30s;
+constexpr Micros kInitialBackoff = 500ms;
+constexpr Micros kMaxBackoff = 10s;
 
 }  // namespace
 
@@ -23,70 +23,72 @@
       clock(aClock),
       random(aSeed),
       sink(std::move(aSink)),
-      offers(kOffers, this->offerBell),
+      updates(kMaxUpdates, this->updateEvent),
       watchThread([this] { this->WatchLoop(); }),
-      offerThread([this] { this->OfferLoop(); }) {}
+      updateThread([this] { this->UpdateLoop(); }) {}
 
 ConfigWatcher::~ConfigWatcher() {
   this->stopping = true;
-  this->watchBell.Notify();
-  this->offerBell.Notify();
+  this->watchEvent.Notify();
+  this->updateEvent.Notify();
   this->watchThread.join();
-  this->offerThread.join();
+  this->updateThread.join();
 }
 
 void ConfigWatcher::SetReader(bool aIsReader) {
   if (this->isReader.exchange(aIsReader) != aIsReader && aIsReader) {
-    this->watchBell.Notify();
+    this->watchEvent.Notify();
   }
 }
 
-void ConfigWatcher::Offer(ConfigGiveMessage aGive) {
-  this->offers.Push(std::move(aGive));
+void ConfigWatcher::Submit(ConfigGiveMessage aUpdate) {
+  this->updates.Push(std::move(aUpdate));
 }
 
-void ConfigWatcher::Sleep(Micros aSpan) { this->watchBell.Wait(aSpan); }
+void ConfigWatcher::Sleep(Micros aDuration) {
+  this->watchEvent.Wait(aDuration);
+}
 
 void ConfigWatcher::WatchLoop() {
-  Micros pause = kFailurePause;
+  Micros backoff = kInitialBackoff;
   bool isFirst = true;
   while (!this->stopping) {
-    const std::int64_t before = this->lastAnswer;
-    this->LookOnce(this->isReader && !isFirst);
+    const std::int64_t before = this->lastResponseAt;
+    this->ReadOnce(this->isReader && !isFirst);
     isFirst = false;
     const double jitter = 0.5 + this->random.Unit();
-    const bool answered = this->lastAnswer != before;
-    if (!answered) {
+    const bool hasResponded = this->lastResponseAt != before;
+    if (!hasResponded) {
       this->Sleep(Micros{static_cast<std::int64_t>(
-          jitter * static_cast<double>(pause.count()))});
-      pause = std::min(2 * pause, kLongestFailurePause);
+          jitter * static_cast<double>(backoff.count()))});
+      backoff = std::min(2 * backoff, kMaxBackoff);
       continue;
     }
-    pause = kFailurePause;
+    backoff = kInitialBackoff;
     if (!this->isReader) {
       this->Sleep(Micros{static_cast<std::int64_t>(
-          jitter * static_cast<double>(kLookInterval.count()))});
+          jitter * static_cast<double>(kPollInterval.count()))});
     }
   }
 }
 
-void ConfigWatcher::LookOnce(bool aWait) {
+void ConfigWatcher::ReadOnce(bool aWait) {
   const auto value = aWait ? this->store.Watch(kRootKey, this->rootRevision,
-                                               this->settings.watchWait)
+                                               this->settings.watchTimeout)
                            : this->store.Get(kRootKey);
   if (!value) {
     return;
   }
-  this->lastAnswer = this->clock.Now().time_since_epoch().count();
+  this->lastResponseAt = this->clock.Now().time_since_epoch().count();
   if (!*value || (*value)->revision <= this->rootRevision) {
     return;
   }
-  ConfigurationPieces have;
+  ConfigurationPieces cached;
   {
     const std::lock_guard<std::mutex> lock(this->mutex);
-    have = this->known;
+    cached = this->known;
   }
-  const auto stored = this->configurations.LoadPieces(**value, &have);
+  const auto stored = this->configurations.LoadPieces(**value, &cached);
   if (!stored) {
     LogWarning("configuration_not_read", {{"why", stored.error().message}});
     return;
@@ -95,17 +97,17 @@
   this->Accept(*stored);
 }
 
-void ConfigWatcher::OfferLoop() {
+void ConfigWatcher::UpdateLoop() {
   while (!this->stopping) {
-    this->offerBell.Wait(1s);
-    while (const auto offer = this->offers.Pop()) {
-      this->TakeGive(*offer);
+    this->updateEvent.Wait(1s);
+    while (const auto update = this->updates.Pop()) {
+      this->ApplyUpdate(*update);
     }
   }
 }
 
-void ConfigWatcher::TakeGive(const ConfigGiveMessage& aGive) {
-  Result<ConfigurationRoot> root = ReadRoot(aGive.root);
+void ConfigWatcher::ApplyUpdate(const ConfigGiveMessage& aUpdate) {
+  Result<ConfigurationRoot> root = ReadRoot(aUpdate.root);
   if (!root) {
     return;
   }
@@ -118,13 +120,13 @@
       return;
     }
     for (const PieceName& name : stored.pieces.names) {
-      const auto have = this->known.texts.find(name.digest);
-      if (have != this->known.texts.end()) {
-        stored.pieces.texts.insert(*have);
+      const auto cached = this->known.texts.find(name.digest);
+      if (cached != this->known.texts.end()) {
+        stored.pieces.texts.insert(*cached);
       }
     }
   }
-  for (const auto& [digest, text] : aGive.pieces) {
+  for (const auto& [digest, text] : aUpdate.pieces) {
     stored.pieces.texts[digest] = text;
   }
   this->Accept(stored);
--- a/Zincstep/Entry/ConfigWatcher.h
+++ b/Zincstep/Entry/ConfigWatcher.h
@@ -12,16 +12,17 @@
 
 namespace zincstep {
 
-/// Reads the configuration on a thread of its own and parses it there.
+/// Loads and parses configurations on its own threads.
 ///
-/// The domain's reader waits in a watch; the others look now and then, and
-/// are told by peers in between. Whatever the source, only a revision
-/// above the last one is passed on.
+/// The reader of the failure domain watches the store. The other daemons poll
+/// it at a long interval and receive updates from their peers in between. From
+/// either source, only a revision higher than the last one is accepted.
 class ConfigWatcher {
  public:
   using Sink = std::function<void(SnapshotPtr)>;
 
-  /// `aSink` is called on the watcher's thread.
+  /// `aSink` receives each accepted configuration, on one of the watcher's
+  /// threads.
   ConfigWatcher(KeyValueStore& aStore, const EntrySettings& aSettings,
                 const Clock& aClock, std::uint64_t aSeed, Sink aSink);
   ~ConfigWatcher();
@@ -29,20 +30,21 @@
   ConfigWatcher(const ConfigWatcher&) = delete;
   ConfigWatcher& operator=(const ConfigWatcher&) = delete;
 
-  /// Whether this daemon is its domain's reader.
+  /// Sets whether this daemon is the reader of its failure domain.
   void SetReader(bool aIsReader);
-  /// A peer has given a configuration.
-  void Offer(ConfigGiveMessage aGive);
-  /// Microseconds of the monotonic clock at the last answer of the store.
-  std::int64_t LastAnswerMicros() const { return this->lastAnswer; }
+  /// Queues a configuration that a peer sent; drops it if the queue is full.
+  void Submit(ConfigGiveMessage aUpdate);
+  /// Time of the store's last response, in microseconds of the monotonic clock;
+  /// 0 before the first.
+  std::int64_t LastResponseMicros() const { return this->lastResponseAt; }
 
  private:
   void WatchLoop();
-  void OfferLoop();
-  void LookOnce(bool aWait);
-  void TakeGive(const ConfigGiveMessage& aGive);
+  void UpdateLoop();
+  void ReadOnce(bool aWait);
+  void ApplyUpdate(const ConfigGiveMessage& aUpdate);
   void Accept(const StoredConfiguration& aStored);
-  void Sleep(Micros aSpan);
+  void Sleep(Micros aDuration);
 
   KeyValueStore& store;
   ConfigurationStore configurations;
@@ -52,17 +54,17 @@
   Sink sink;
   std::atomic<bool> isReader{true};
   std::atomic<bool> stopping{false};
-  std::atomic<std::int64_t> lastAnswer{0};
+  std::atomic<std::int64_t> lastResponseAt{0};
   std::uint64_t rootRevision = 0;
-  WakeEvent watchBell;
-  WakeEvent offerBell;
-  Channel<ConfigGiveMessage> offers;
-  /// Guards `known` and `revision`, which both threads use.
+  WakeEvent watchEvent;
+  WakeEvent updateEvent;
+  Channel<ConfigGiveMessage> updates;
+  /// Guards `known` and `revision`, which both threads access.
   std::mutex mutex;
   ConfigurationPieces known;
   std::uint64_t revision = 0;
   std::thread watchThread;
-  std::thread offerThread;
+  std::thread updateThread;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Entry/DomainController.cpp
+++ b/Zincstep/Entry/DomainController.cpp
@@ -10,16 +10,16 @@
 
 namespace {
 
-constexpr std::size_t kInputs = 16;
-constexpr Micros kStep = 100ms;
-constexpr Micros kDutyInterval = 2s;
+constexpr std::size_t kMaxInputs = 16;
+constexpr Micros kStepInterval = 100ms;
+constexpr Micros kLeadershipInterval = 2s;
 constexpr Micros kMembersInterval = 2s;
 constexpr Micros kReconcileInterval = 1s;
 constexpr Micros kStatusInterval = 500ms;
-/// Others than the reader look at the VM list this much less often.
-constexpr int kOtherVmFactor = 10;
-/// Longest flight of an order; shorter than the lease's margin.
-constexpr Micros kOrderTime = 1500ms;
+/// Factor by which daemons other than the reader read the VM list less often.
+constexpr int kNonReaderVmFactor = 10;
+/// Maximum time that an order is in flight; shorter than the lease's margin.
+constexpr Micros kOrderTimeout = 1500ms;
 
 MemberListPlannerSettings MemberSettings(const EntrySettings& aSettings) {
   MemberListPlannerSettings settings;
@@ -40,7 +40,7 @@
       vmList(aVms),
       clock(aClock),
       sink(std::move(aSink)),
-      inputs(kInputs, this->doorbell),
+      inputs(kMaxInputs, this->wakeEvent),
       startedAt(aClock.Now()),
       guard(LeaseGuardSettings{aSettings.leaseTtl, aSettings.leaseTtl / 3}),
       memberListPlanner(MemberSettings(aSettings)),
@@ -49,11 +49,11 @@
 
 DomainController::~DomainController() {
   this->stopping = true;
-  this->doorbell.Notify();
+  this->wakeEvent.Notify();
   this->thread.join();
 }
 
-void DomainController::Tell(DomainControllerInput aInput) {
+void DomainController::SetInput(DomainControllerInput aInput) {
   this->inputs.Push(std::move(aInput));
 }
 
@@ -63,26 +63,26 @@
 
 void DomainController::Loop() {
   while (!this->stopping) {
-    this->doorbell.Wait(kStep);
+    this->wakeEvent.Wait(kStepInterval);
     while (auto next = this->inputs.Pop()) {
       this->input = std::move(next);
     }
-    this->StepAll();
+    this->RunStep();
   }
   this->ResignLeadership();
 }
 
-void DomainController::StepAll() {
+void DomainController::RunStep() {
   const Instant now = this->clock.Now();
   this->ReadVms(now);
   if (this->input == nullptr) {
     return;
   }
   this->MaintainLease(this->clock.Now());
-  const bool acts = this->guard.MayIssueOrders(this->clock.Now());
-  this->report.isLeader = acts;
+  const bool canAct = this->guard.MayIssueOrders(this->clock.Now());
+  this->report.isLeader = canAct;
   this->report.fence = this->guard.Fence();
-  if (acts) {
+  if (canAct) {
     this->UpdateMemberLists(this->clock.Now());
     this->Reconcile(this->clock.Now());
     this->WriteStatus(this->clock.Now());
@@ -98,10 +98,10 @@
     return;
   }
   const bool isReader = this->input == nullptr || this->input->isReader;
-  this->nextVms =
-      aNow + this->settings.vmListInterval * (isReader ? 1 : kOtherVmFactor);
+  this->nextVms = aNow + this->settings.vmListInterval *
+                             (isReader ? 1 : kNonReaderVmFactor);
   auto vms = this->vmList.List();
-  this->report.platformAnswers = vms.has_value();
+  this->report.isPlatformReachable = vms.has_value();
   if (vms) {
     this->hasVmList = true;
     this->listedVms.clear();
@@ -126,7 +126,7 @@
     return;
   }
   if (aNow >= this->nextLeadershipStep && this->input->snapshot != nullptr) {
-    this->nextLeadershipStep = aNow + kDutyInterval;
+    this->nextLeadershipStep = aNow + kLeadershipInterval;
     this->AcquireLeadership(aNow);
   }
 }
@@ -143,8 +143,8 @@
 }
 
 void DomainController::AcquireLeadership(Instant aNow) {
-  const auto holder = this->store.Get(this->LeadershipKey());
-  if (!holder || *holder) {
+  const auto leader = this->store.Get(this->LeadershipKey());
+  if (!leader || *leader) {
     return;
   }
   const auto granted = this->store.GrantLease(this->settings.leaseTtl);
@@ -156,15 +156,15 @@
                                                   this->member, this->lease);
   std::uint64_t fence = swapped && *swapped ? **swapped : 0;
   if (!swapped) {
-    // The answer was lost: the store says whose the duty is.
+    // The response was lost: read the key to find out who the leader is.
     const auto now = this->store.Get(this->LeadershipKey());
-    const bool mine = now && *now && (*now)->value == this->member;
-    fence = mine ? (*now)->revision : 0;
+    const bool isOwn = now && *now && (*now)->value == this->member;
+    fence = isOwn ? (*now)->revision : 0;
   }
   if (fence == 0) {
     return;
   }
-  // Counted from before the grant: never later than the service counts.
+  // `aNow` is before the grant, so the guard never expires after the lease.
   this->guard.OnLeaseAcquired(fence, aNow);
   this->leaderSince = aNow;
   LogInfo("duty_taken",
@@ -179,33 +179,35 @@
   (void)this->store.Remove(this->LeadershipKey(), this->guard.Fence());
 }
 
-/// Members whose process certainly runs no more: their VM has gone from
-/// the list, or another incarnation is heard on it.
-std::vector<std::string> DomainController::GoneMembers(
+/// Returns members whose process has certainly stopped: their VM is no longer
+/// listed, another incarnation is live on it, or they handed over their claims.
+std::vector<std::string> DomainController::StoppedMembers(
     const MemberLists& aLists) const {
-  std::vector<std::string> gone;
+  std::vector<std::string> stopped;
   if (!this->hasVmList || aLists.lists.empty()) {
-    return gone;
+    return stopped;
   }
-  for (const Member& one : aLists.lists.front().members) {
-    const std::string vm = one.name.substr(0, one.name.rfind('/'));
-    const bool otherRuns =
+  for (const Member& listedMember : aLists.lists.front().members) {
+    const std::string vm =
+        listedMember.name.substr(0, listedMember.name.rfind('/'));
+    const bool isReplaced =
         std::any_of(this->input->live.begin(), this->input->live.end(),
                     [&](const Member& aLive) {
-                      return aLive.name != one.name &&
+                      return aLive.name != listedMember.name &&
                              aLive.name.substr(0, aLive.name.rfind('/')) == vm;
                     });
-    const bool handed = this->input->handedTo.contains(one.name);
-    if (!this->listedVms.contains(vm) || otherRuns || handed) {
-      gone.push_back(one.name);
+    const bool hasHandedOver =
+        this->input->handedTo.contains(listedMember.name);
+    if (!this->listedVms.contains(vm) || isReplaced || hasHandedOver) {
+      stopped.push_back(listedMember.name);
     }
   }
-  return gone;
+  return stopped;
 }
 
 void DomainController::UpdateMemberLists(Instant aNow) {
   if (aNow < this->nextMembers ||
-      aNow - this->startedAt < this->settings.settle) {
+      aNow - this->startedAt < this->settings.settleTime) {
     return;
   }
   this->nextMembers = aNow + kMembersInterval;
@@ -225,9 +227,9 @@
   }
   const MemberLists next = this->memberListPlanner.Next(
       lists, this->settings.failureDomain, this->input->live,
-      this->GoneMembers(lists), this->input->handedTo, aNow);
-  const bool changed = next.version != lists.version;
-  if (changed) {
+      this->StoppedMembers(lists), this->input->handedTo, aNow);
+  const bool hasChanged = next.version != lists.version;
+  if (hasChanged) {
     const std::uint64_t expected = *stored ? (*stored)->revision : 0;
     const auto swapped =
         this->store.CompareAndSwap(key, expected, WriteMemberLists(next), 0);
@@ -268,19 +270,19 @@
       this->input->upstreams.begin(), this->input->upstreams.end(),
       [&](const UpstreamState& aOne) { return aOne.name == aOrder.upstream; });
   const Instant now = this->clock.Now();
-  // An upstream that checks no fence could still get an order of the last
-  // holder: by now that one's lease and its longest flight are over.
-  const bool waitsOut =
+  // An upstream that does not check fences could still receive an order of the
+  // previous leader, until that leader's lease and order timeout have passed.
+  const bool mustWait =
       state != this->input->upstreams.end() && !state->checksFence &&
-      now - this->leaderSince < this->settings.leaseTtl + kOrderTime;
-  if (waitsOut || !this->guard.MayIssueOrders(now)) {
+      now - this->leaderSince < this->settings.leaseTtl + kOrderTimeout;
+  if (mustWait || !this->guard.MayIssueOrders(now)) {
     return;
   }
   HttpCall call;
   call.method = "POST";
   call.url = "http://" + aOrder.address + "/v1/orders";
   call.headers = {{"Content-Type", "application/json"}};
-  call.timeout = kOrderTime;
+  call.timeout = kOrderTimeout;
   call.freshConnection = true;
   call.body = nlohmann::json{{"fence", this->guard.Fence()},
                              {"version", aOrder.version},
@@ -304,12 +306,12 @@
   status.daemons = this->input->daemons;
   status.stuck = this->report.stuck;
   status.leaving = this->input->leaving;
-  // Times alone are no news; they are written with the next change.
-  DomainStatus timeless = status;
-  for (DaemonStatus& daemon : timeless.daemons) {
+  // A change of only the times is not written until something else changes.
+  DomainStatus withoutTimes = status;
+  for (DaemonStatus& daemon : withoutTimes.daemons) {
     daemon.lastSeenAt = 0;
   }
-  const std::string text = WriteDomainStatus(timeless);
+  const std::string text = WriteDomainStatus(withoutTimes);
   if (text == this->lastStatus) {
     return;
   }
--- a/Zincstep/Entry/DomainController.h
+++ b/Zincstep/Entry/DomainController.h
@@ -13,37 +13,46 @@
 
 namespace zincstep {
 
-/// What the router tells the keeper, about once a second.
+/// The router's state that the controller acts on, sent twice per second.
 struct DomainControllerInput {
   SnapshotPtr snapshot;
-  /// Entry daemons of this domain that are heard, this one included.
+  /// Live entry daemons of this domain, including this one.
   std::vector<Member> live;
+  /// Members that have stopped, each with the member that took over its claims.
   std::map<std::string, std::string> handedTo;
   std::vector<DaemonStatus> daemons;
   std::vector<UpstreamState> upstreams;
+  /// Upstreams that are leaving.
   std::vector<std::string> leaving;
+  /// Whether this daemon is the domain's reader, which polls the VM list more
+  /// often than the others.
   bool isReader = false;
   bool isStopping = false;
 };
 
-/// What the keeper tells the router.
+/// The controller's results, for the router.
 struct DomainControllerReport {
+  /// The VM list, if it was read since the last report.
   std::optional<std::vector<VmEntry>> vms;
+  /// The member lists, if they were read since the last report.
   std::optional<MemberLists> members;
-  /// Upstreams to pause; set while this daemon has the control duty.
+  /// Upstreams to pause; set only while this daemon is the leader.
   std::optional<std::vector<std::string>> paused;
   bool isLeader = false;
+  /// Fencing token of the lease.
   std::uint64_t fence = 0;
+  /// Upstreams that are not as declared, with the reason why they wait.
   std::map<std::string, std::string> stuck;
-  /// Whether the platform has answered of late.
-  bool platformAnswers = false;
+  /// Whether the last read of the VM list succeeded.
+  bool isPlatformReachable = false;
 };
 
-/// The thread that speaks with the platform and has the control duty.
+/// Reads the VM list, and controls the failure domain while it is the leader.
 ///
-/// Any daemon may have its domain's duty, by a lease of the key-value
-/// service. The holder keeps the member lists, writes the domain's status,
-/// and brings upstreams to their declared versions by fenced orders.
+/// Any daemon may become the leader of its domain, by a lease in the key-value
+/// service. The leader maintains the member lists, writes the domain's status,
+/// and moves upstreams to their declared versions with fenced orders. Runs on
+/// its own thread, since calls to the platform block.
 class DomainController {
  public:
   using Sink = std::function<void(DomainControllerReport)>;
@@ -56,12 +65,12 @@
   DomainController(const DomainController&) = delete;
   DomainController& operator=(const DomainController&) = delete;
 
-  /// Takes the router's view.
-  void Tell(DomainControllerInput aInput);
+  /// Queues the router's latest state; drops it if the queue is full.
+  void SetInput(DomainControllerInput aInput);
 
  private:
   void Loop();
-  void StepAll();
+  void RunStep();
   void ReadVms(Instant aNow);
   void MaintainLease(Instant aNow);
   void AcquireLeadership(Instant aNow);
@@ -71,7 +80,7 @@
   void Reconcile(Instant aNow);
   void SendOrder(const LoadOrder& aOrder);
   void WriteStatus(Instant aNow);
-  std::vector<std::string> GoneMembers(const MemberLists& aLists) const;
+  std::vector<std::string> StoppedMembers(const MemberLists& aLists) const;
   std::string LeadershipKey() const;
 
   const EntrySettings& settings;
@@ -80,7 +89,7 @@
   VmList& vmList;
   const Clock& clock;
   Sink sink;
-  WakeEvent doorbell;
+  WakeEvent wakeEvent;
   Channel<DomainControllerInput> inputs;
   std::atomic<bool> stopping{false};
   std::unique_ptr<DomainControllerInput> input;
--- a/Zincstep/Entry/EntryContext.h
+++ b/Zincstep/Entry/EntryContext.h
@@ -14,7 +14,7 @@
 
 namespace zincstep {
 
-/// What the parts of the router share; used on the router's thread only.
+/// State that the parts of the router share; used only on the router's thread.
 struct EntryContext {
   const EntrySettings& settings;
   const Clock& clock;
@@ -27,14 +27,16 @@
   PeerTransport& transport;
   Tracer& tracer;
   Metrics metrics;
-  /// This process' name among the members: VM and incarnation.
+  /// This daemon's member name: VM and incarnation.
   std::string member;
   PeerTable peers;
-  LeavingUpstreams roster;
+  LeavingUpstreams leavingUpstreams;
   DomainLimit limits;
+  /// The active configuration; null until the first one is accepted.
   SnapshotPtr snapshot;
-  /// The agreed lists of members, newest first.
+  /// The agreed member lists, newest first.
   MemberLists members;
+  /// The daemon was requested to stop.
   bool stopping = false;
 
   /// Sends a message to a peer.
@@ -44,7 +46,7 @@
                                         std::move(aBody)}));
   }
 
-  /// Refuses a request of a caller and counts it.
+  /// Sends an error response to a caller and counts the refusal.
   void Refuse(ExchangeId aExchange, const Error& aError) {
     const ErrorInfo& row = ErrorInfoFor(aError.kind);
     this->metrics.Count("zincstep_refusals_total",
@@ -53,7 +55,7 @@
   }
 };
 
-/// Limits of deadlines, from the settings.
+/// Returns the deadline limits from the settings.
 inline CallerLimits LimitsOf(const EntrySettings& aSettings) {
   return {aSettings.defaultDeadline, aSettings.maxDeadline};
 }
--- a/Zincstep/Entry/EntryDaemon.cpp
+++ b/Zincstep/Entry/EntryDaemon.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr std::size_t kEvents = 1 << 15;
-/// Time in which answers that were given last are still written out.
-constexpr auto kLastWrites = std::chrono::milliseconds(100);
+constexpr std::size_t kMaxEvents = 1 << 15;
+/// Delay before the servers stop, so that the last responses are sent.
+constexpr auto kFinalWriteDelay = std::chrono::milliseconds(100);
 
 HttpServerSettings ServerSettings(const EntrySettings& aSettings,
                                   const std::string& aAddress) {
@@ -28,15 +28,15 @@
   return settings;
 }
 
-/// Puts an event into the router's ring; waits while the ring is full.
+/// Pushes events into the router's ring; blocks while the ring is full.
 class EventSink {
  public:
   explicit EventSink(Channel<RouterEvent>& aEvents) : events(aEvents) {}
 
   template <class Event>
   void Put(Event aEvent) {
-    // A full ring means that the router is behind: the carrying threads
-    // stop reading, and the pressure reaches the sockets.
+    // If the router falls behind, the I/O threads block here and stop reading,
+    // so that the backpressure reaches the sockets.
     while (!this->events.Push(RouterEvent(aEvent))) {
       std::this_thread::sleep_for(100us);
     }
@@ -46,7 +46,7 @@
   Channel<RouterEvent>& events;
 };
 
-/// Turns what the carrying threads hear into events.
+/// Converts callbacks of the I/O threads to events.
 class Listeners final : public EngineListener,
                         public HttpCallListener,
                         public PeerListener {
@@ -54,7 +54,7 @@
   explicit Listeners(EventSink& aSink) : sink(aSink) {}
 
   void OnToken(TokenEvent aEvent) override {
-    this->sink.Put(TokenCameEvent{std::move(aEvent)});
+    this->sink.Put(TokenReceivedEvent{std::move(aEvent)});
   }
   void OnAttemptFailed(std::uint64_t aRequest, int aAttempt, int aStage,
                        HopFailure aFailure) override {
@@ -82,10 +82,10 @@
   EventSink& sink;
 };
 
-/// Requests of callers.
-class CallerFront final : public HttpRequestListener {
+/// Converts callers' requests to events.
+class CallerListener final : public HttpRequestListener {
  public:
-  explicit CallerFront(EventSink& aSink) : sink(aSink) {}
+  explicit CallerListener(EventSink& aSink) : sink(aSink) {}
 
   void OnRequest(HttpRequest aRequest) override {
     this->sink.Put(CallerRequestEvent{std::move(aRequest)});
@@ -98,10 +98,10 @@
   EventSink& sink;
 };
 
-/// Requests of operators.
-class AdminFront final : public HttpRequestListener {
+/// Converts operators' requests to events.
+class AdminListener final : public HttpRequestListener {
  public:
-  explicit AdminFront(EventSink& aSink) : sink(aSink) {}
+  explicit AdminListener(EventSink& aSink) : sink(aSink) {}
 
   void OnRequest(HttpRequest aRequest) override {
     this->sink.Put(AdminRequestEvent{std::move(aRequest)});
@@ -112,7 +112,7 @@
   EventSink& sink;
 };
 
-/// The process' name among the members: VM and a random incarnation.
+/// Returns this daemon's member name: VM and a random incarnation.
 std::string MakeMember(const EntrySettings& aSettings, Random& aRandom) {
   char digits[17];
   std::snprintf(
@@ -139,32 +139,32 @@
 
 }  // namespace
 
-/// What a daemon consists of, in the order in which it is made; parts that
-/// are told things go after those that tell them.
+/// The parts of a daemon, in order of construction. A part that calls another
+/// is declared after it, so that it is destroyed first.
 struct EntryDaemon::Parts {
   explicit Parts(EntrySettings aSettings)
       : settings(std::move(aSettings)),
         seed(SeedOf(this->settings)),
         random(this->seed),
         member(MakeMember(this->settings, this->random)),
-        events(kEvents, this->doorbell),
+        events(kMaxEvents, this->wakeEvent),
         sink(this->events),
         listeners(this->sink),
-        callerFront(this->sink),
-        adminFront(this->sink),
+        callerListener(this->sink),
+        adminListener(this->sink),
         tracer(this->settings.traceFile, this->clock, this->seed + 2) {}
 
   Result<void> StartServers() {
     this->callers =
         MakeHttpServer(ServerSettings(this->settings, this->settings.listen),
-                       this->callerFront);
+                       this->callerListener);
     this->admin = MakeHttpServer(
         ServerSettings(this->settings, this->settings.adminListen),
-        this->adminFront);
-    PeerTransportSettings hubSettings;
-    hubSettings.listen = this->settings.peerListen;
-    hubSettings.seed = this->seed + 1;
-    this->transport = MakePeerTransport(hubSettings, this->listeners);
+        this->adminListener);
+    PeerTransportSettings transportSettings;
+    transportSettings.listen = this->settings.peerListen;
+    transportSettings.seed = this->seed + 1;
+    this->transport = MakePeerTransport(transportSettings, this->listeners);
     for (const Result<void>& started :
          {this->transport->Start(), this->admin->Start(),
           this->callers->Start()}) {
@@ -172,10 +172,10 @@
         return started;
       }
     }
-    EntrySettings& own = this->settings;
-    own.listen = WithPort(own.listen, this->callers->Port());
-    own.adminListen = WithPort(own.adminListen, this->admin->Port());
-    own.peerListen = WithPort(own.peerListen, this->transport->Port());
+    EntrySettings& bound = this->settings;
+    bound.listen = WithPort(bound.listen, this->callers->Port());
+    bound.adminListen = WithPort(bound.adminListen, this->admin->Port());
+    bound.peerListen = WithPort(bound.peerListen, this->transport->Port());
     return {};
   }
 
@@ -204,7 +204,7 @@
           this->sink.Put(DomainControllerEvent{std::move(aReport)});
         });
     this->router = std::make_unique<Router>(
-        *this->context, this->events, this->doorbell,
+        *this->context, this->events, this->wakeEvent,
         RouterWorkers{*this->plans, *this->watcher, *this->controller});
     this->routerThread = std::thread([this] { this->router->Run(); });
   }
@@ -214,12 +214,12 @@
   std::uint64_t seed;
   Random random;
   std::string member;
-  WakeEvent doorbell;
+  WakeEvent wakeEvent;
   Channel<RouterEvent> events;
   EventSink sink;
   Listeners listeners;
-  CallerFront callerFront;
-  AdminFront adminFront;
+  CallerListener callerListener;
+  AdminListener adminListener;
   Tracer tracer;
   std::unique_ptr<HttpServer> callers;
   std::unique_ptr<HttpServer> admin;
@@ -232,8 +232,8 @@
   std::unique_ptr<ConfigWatcher> watcher;
   std::unique_ptr<DomainController> controller;
   std::unique_ptr<Router> router;
-  /// After the engine client in this list, so that it ends first: it calls
-  /// the engine client's listener until its thread has ended.
+  /// Declared after the engine client, so that it is destroyed first: its
+  /// thread calls the engine client's listener until it has ended.
   std::unique_ptr<HttpClient> http;
   std::thread routerThread;
 };
@@ -267,7 +267,7 @@
     return;
   }
   this->parts->routerThread.join();
-  std::this_thread::sleep_for(kLastWrites);
+  std::this_thread::sleep_for(kFinalWriteDelay);
   this->parts->callers->Stop();
   this->parts->admin->Stop();
   this->parts->transport->Stop();
@@ -284,7 +284,7 @@
 
 namespace {
 
-/// Blocks the signals of a stop in this thread and those that it starts.
+/// Blocks the stop signals in this thread and in the threads that it starts.
 sigset_t BlockSignals() {
   sigset_t signals;
   sigemptyset(&signals);
--- a/Zincstep/Entry/EntryDaemon.h
+++ b/Zincstep/Entry/EntryDaemon.h
@@ -6,7 +6,7 @@
 
 namespace zincstep {
 
-/// One entry daemon with all of its threads.
+/// An entry daemon with all its threads.
 class EntryDaemon {
  public:
   explicit EntryDaemon(EntrySettings aSettings);
@@ -15,16 +15,17 @@
   EntryDaemon(const EntryDaemon&) = delete;
   EntryDaemon& operator=(const EntryDaemon&) = delete;
 
-  /// Listens on its addresses and starts its threads.
+  /// Opens the listeners and starts the threads.
   Result<void> Start();
-  /// Orders it to stop: no new work, and an end to what was begun.
+  /// Starts a graceful stop: the daemon drains, refuses new requests, finishes
+  /// the open ones and hands over its claims.
   void RequestStop();
-  /// Ends it at once, as a crash would, but for its threads.
+  /// Stops at once, without draining, as in a crash; joins the threads.
   void Abandon();
-  /// Waits until it has stopped.
+  /// Blocks until the daemon has stopped.
   void Wait();
 
-  /// Its settings, with the ports that the system has chosen.
+  /// The settings, with the ports that the operating system assigned.
   const EntrySettings& Settings() const;
 
  private:
@@ -32,7 +33,7 @@
   std::unique_ptr<Parts> parts;
 };
 
-/// Runs an entry daemon until SIGTERM or SIGINT; gives the exit status.
+/// Runs an entry daemon until SIGTERM or SIGINT; returns the exit status.
 int RunEntryDaemon(EntrySettings aSettings);
 
 }  // namespace zincstep
--- a/Zincstep/Entry/EntrySettings.cpp
+++ b/Zincstep/Entry/EntrySettings.cpp
@@ -22,37 +22,38 @@
   reader.Text("trace-file", settings.traceFile,
               "File for spans, - for stderr, empty for none");
   reader.Integer("max-body-bytes", settings.maxBodyBytes, 1024, 1 << 30,
-                 "Largest request body, in bytes");
+                 "Maximum size of a request body, in bytes");
   reader.Integer("max-connections", settings.maxConnections, 1, 1000000,
-                 "Connections of callers at a time");
+                 "Maximum number of caller connections");
   reader.Millis("read-timeout-ms", settings.readTimeout, 100, 600000,
-                "Time in which a request must have come whole");
+                "Time in which a request must be received completely");
   reader.Millis("default-deadline-ms", settings.defaultDeadline, 100, 300000,
-                "Deadline of requests that name none");
+                "Deadline of requests that specify none");
   reader.Millis("longest-deadline-ms", settings.maxDeadline, 100, 300000,
-                "Longest deadline that a request may name");
-  reader.Millis("longest-wait-ms", settings.maxWait, 1, 60000,
-                "Longest expected wait before a request is refused");
+                "Maximum deadline that a request may specify");
+  reader.Millis(
+      "longest-wait-ms", settings.maxWait, 1, 60000,
+      "Maximum expected wait; requests with a longer one are refused");
   reader.Millis("drain-grace-ms", settings.drainGrace, 0, 600000,
-                "Time after SIGTERM in which requests are still taken");
+                "Time after SIGTERM in which requests are still accepted");
   reader.Millis("drain-limit-ms", settings.drainLimit, 0, 3600000,
-                "Time after SIGTERM after which the daemon ends anyway");
+                "Time after SIGTERM after which the daemon stops in any case");
   reader.Millis("gossip-ms", settings.gossipInterval, 50, 60000,
-                "Time between messages to each peer");
+                "Interval of gossip messages to each peer");
   reader.Millis("load-ms", settings.loadInterval, 50, 60000,
-                "Time between questions for an upstream's load");
+                "Interval of load queries to an upstream");
   reader.Millis("vm-list-ms", settings.vmListInterval, 50, 60000,
-                "Time between reads of the VM list");
-  reader.Millis("watch-ms", settings.watchWait, 50, 60000,
-                "Longest wait of one watch of the configuration");
-  reader.Millis("settle-ms", settings.settle, 0, 60000,
-                "Time after the start before member lists are made");
+                "Interval of reads of the VM list");
+  reader.Millis("watch-ms", settings.watchTimeout, 50, 60000,
+                "Timeout of one watch of the configuration");
+  reader.Millis("settle-ms", settings.settleTime, 0, 60000,
+                "Time after the start before member lists are planned");
   reader.Millis("lease-ms", settings.leaseTtl, 1000, 600000,
-                "Life of the lease of the control duty");
+                "TTL of the leader's lease");
   reader.Millis("member-list-ms", settings.memberListInterval, 100, 600000,
-                "Least time between two changes of the member lists");
+                "Minimum time between two changes of the member lists");
   reader.Integer("key-memory-mb", settings.keyMemoryMegabytes, 1, 65536,
-                 "Memory for remembered idempotency keys, in MB");
+                 "Maximum memory for idempotency keys, in MB");
   reader.Integer("seed", settings.seed, 0, INT64_MAX,
                  "Seed of random choices; 0 takes one from the system");
   ReadOrExit(reader, aCount, aWords);
--- a/Zincstep/Entry/ModelAdmission.cpp
+++ b/Zincstep/Entry/ModelAdmission.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// How a request for tokens is admitted: its key, its limits, its turn in the
-/// queue and its chain.
+/// Admission of completion requests: idempotency key, limits, queue and choice
+/// of chain.
 
 #include <algorithm>
 
@@ -10,10 +10,11 @@
 
 namespace {
 
-/// Tokens that an answer without a limit is expected to have.
-constexpr int kUsualTokens = 256;
-/// Share of the window up to which organisations under their share begin.
-constexpr double kOverfill = 1.15;
+/// Token limit of requests that specify none.
+constexpr int kDefaultMaxTokens = 256;
+/// Factor on the local window up to which organisations below their fair share
+/// may start requests.
+constexpr double kOverfillFactor = 1.15;
 
 FairQueueSettings QueueSettings(const EntrySettings& aSettings) {
   FairQueueSettings settings;
@@ -21,31 +22,35 @@
   return settings;
 }
 
-Result<const Model*> CheckAsked(const Snapshot& aSnapshot,
-                                const Organisation& aOrganisation,
-                                const CompletionRequest& aAsked) {
-  const Model* model = aSnapshot.configuration.FindModel(aAsked.model);
+/// Returns the model, or fails with the reason why the organisation cannot use
+/// it for this request.
+Result<const Model*> ValidateCompletion(const Snapshot& aSnapshot,
+                                        const Organisation& aOrganisation,
+                                        const CompletionRequest& aCompletion) {
+  const Model* model = aSnapshot.configuration.FindModel(aCompletion.model);
   const auto& allowed = aOrganisation.models;
-  const bool isAllowed =
-      std::find(allowed.begin(), allowed.end(), aAsked.model) != allowed.end();
+  const bool isAllowed = std::find(allowed.begin(), allowed.end(),
+                                   aCompletion.model) != allowed.end();
   if (model == nullptr || !isAllowed) {
-    // The same answer for both: what others use is not for this caller.
+    // The same error for both, so that callers cannot find out which models
+    // other organisations use.
     return Fail(ErrorKind::UnknownModel,
-                "there is no model '" + aAsked.model + "'");
+                "unknown model '" + aCompletion.model + "'");
   }
   const auto& adapters = model->adapters;
-  if (!aAsked.adapter.empty() && std::find(adapters.begin(), adapters.end(),
-                                           aAsked.adapter) == adapters.end()) {
+  if (!aCompletion.adapter.empty() &&
+      std::find(adapters.begin(), adapters.end(), aCompletion.adapter) ==
+          adapters.end()) {
     return Fail(ErrorKind::UnknownModel,
-                "there is no adapter '" + aAsked.adapter + "'");
+                "unknown adapter '" + aCompletion.adapter + "'");
   }
   const auto tokens =
-      static_cast<int>(aAsked.prompt.size() / kBytesPerToken) + 1;
+      static_cast<int>(aCompletion.prompt.size() / kBytesPerToken) + 1;
   if (tokens >= model->contextTokens) {
     return Fail(ErrorKind::RequestTooLarge,
-                "the prompt is longer than the model's context");
+                "the prompt exceeds the model's context length");
   }
-  if (aAsked.maxTokens && *aAsked.maxTokens > model->maxTokens) {
+  if (aCompletion.maxTokens && *aCompletion.maxTokens > model->maxTokens) {
     return Fail(ErrorKind::BadRequest, "max_tokens: expected at most " +
                                            std::to_string(model->maxTokens));
   }
@@ -69,10 +74,10 @@
 }
 
 void ModelHandler::OnClaim(std::uint64_t aRequest, ClaimVerdict aVerdict,
-                           const Claim& aHolder) {
+                           const Claim& aOwner) {
   Request* request = this->Find(aRequest);
   if (request == nullptr) {
-    // The caller went while the witnesses were asked.
+    // The caller disconnected during the claim.
     this->claims.Release(aRequest);
     return;
   }
@@ -81,7 +86,7 @@
     return;
   }
   request->isKeyed = false;
-  RespondToHeldClaim(this->context, request->exchange, aVerdict, aHolder,
+  RespondToHeldClaim(this->context, request->exchange, aVerdict, aOwner,
                      request->digest);
   this->EndSpan(*request, "held");
   this->Remove(aRequest);
@@ -89,51 +94,52 @@
 
 void ModelHandler::Admit(Request& aRequest) {
   const Instant now = this->context.clock.Now();
-  const Organisation& organisation = *aRequest.facts.organisation;
+  const Organisation& organisation = *aRequest.caller.organisation;
   const Result<const Model*> model =
-      CheckAsked(*aRequest.snapshot, organisation, aRequest.asked);
+      ValidateCompletion(*aRequest.snapshot, organisation, aRequest.completion);
   if (!model) {
     this->RefuseWaiting(aRequest, model.error());
     return;
   }
   aRequest.model = *model;
   aRequest.promptTokens =
-      1 + static_cast<double>(aRequest.asked.prompt.size()) / kBytesPerToken;
-  aRequest.maxTokens = aRequest.asked.maxTokens.value_or(
-      std::min(kUsualTokens, aRequest.model->maxTokens));
-  const Result<void> allowed = this->context.limits.Admit(
+      1 +
+      static_cast<double>(aRequest.completion.prompt.size()) / kBytesPerToken;
+  aRequest.maxTokens = aRequest.completion.maxTokens.value_or(
+      std::min(kDefaultMaxTokens, aRequest.model->maxTokens));
+  const Result<void> admitted = this->context.limits.Admit(
       organisation.name, organisation.tokensPerSecond,
       aRequest.promptTokens + aRequest.maxTokens, now);
-  if (!allowed) {
-    this->RefuseWaiting(aRequest, allowed.error());
+  if (!admitted) {
+    this->RefuseWaiting(aRequest, admitted.error());
     return;
   }
   this->SetVersion(aRequest, this->pool.ServingVersion(aRequest.model->name,
                                                        this->context.random));
   if (aRequest.planner == nullptr) {
-    this->RefuseWaiting(
-        aRequest,
-        {ErrorKind::NoCapacity, "the model has no upstreams here", {}});
+    this->RefuseWaiting(aRequest, {ErrorKind::NoCapacity,
+                                   "no upstreams are available for the model",
+                                   {}});
     return;
   }
   FairQueue& queue = this->QueueOf(aRequest);
   if (queue.Waiting() == 0 && this->TryStart(aRequest)) {
     return;
   }
-  if (aRequest.isOver) {
+  if (aRequest.hasEnded) {
     return;
   }
   QueuedRequest queued;
   queued.id = aRequest.id;
   queued.organisation = organisation.name;
-  queued.priority = aRequest.facts.priority;
+  queued.priority = aRequest.caller.priority;
   queued.weight = organisation.weight;
   queued.tokens = aRequest.promptTokens + aRequest.maxTokens;
-  queued.startBy = aRequest.facts.deadline;
-  const double rate = this->pool.OwnTokenRate(aRequest.model->name);
-  const Result<void> joined = queue.Enqueue(std::move(queued), rate, now);
-  if (!joined) {
-    this->RefuseWaiting(aRequest, joined.error());
+  queued.startBy = aRequest.caller.deadline;
+  const double rate = this->pool.LocalTokenRate(aRequest.model->name);
+  const Result<void> enqueued = queue.Enqueue(std::move(queued), rate, now);
+  if (!enqueued) {
+    this->RefuseWaiting(aRequest, enqueued.error());
     return;
   }
   aRequest.isWaiting = true;
@@ -143,19 +149,20 @@
   aRequest.version = aVersion;
   aRequest.planner = this->pool.Planner(aRequest.model->name, aVersion);
   aRequest.prefixHashes = PrefixHashes(
-      aRequest.facts.organisation->name,
-      aRequest.model->name + "/" + aVersion + "/" + aRequest.asked.adapter,
-      aRequest.asked.prompt);
+      aRequest.caller.organisation->name,
+      aRequest.model->name + "/" + aVersion + "/" + aRequest.completion.adapter,
+      aRequest.completion.prompt);
 }
 
-/// A chain in the request's version, or else in another one that runs: while
-/// a version rolls, its last upstream may be paused before the next plan.
+/// Chooses a chain in the request's version, or else in another one. During a
+/// rollout, a version's last upstream can be paused before the next plan is
+/// computed.
 Result<Choice> ModelHandler::ChooseChain(Request& aRequest) {
-  ChainChoiceInput facts;
-  facts.now = this->context.clock.Now();
-  facts.promptTokens = static_cast<int>(aRequest.promptTokens);
-  facts.prefixHashes = aRequest.prefixHashes;
-  Result<Choice> choice = aRequest.planner->Choose(facts, this->context.random);
+  ChainChoiceInput input;
+  input.now = this->context.clock.Now();
+  input.promptTokens = static_cast<int>(aRequest.promptTokens);
+  input.prefixHashes = aRequest.prefixHashes;
+  Result<Choice> choice = aRequest.planner->Choose(input, this->context.random);
   for (const std::string& version : aRequest.model->versions) {
     const PlannerPtr planner =
         this->pool.Planner(aRequest.model->name, version);
@@ -163,8 +170,8 @@
       continue;
     }
     this->SetVersion(aRequest, version);
-    facts.prefixHashes = aRequest.prefixHashes;
-    choice = planner->Choose(facts, this->context.random);
+    input.prefixHashes = aRequest.prefixHashes;
+    choice = planner->Choose(input, this->context.random);
   }
   return choice;
 }
@@ -175,7 +182,7 @@
     this->RefuseWaiting(aRequest, choice.error());
     return false;
   }
-  if (!choice->isWithinWindow && !this->MayOverfill(aRequest)) {
+  if (!choice->isWithinWindow && !this->CanOverfill(aRequest)) {
     return false;
   }
   this->context.tracer.Write("choose", aRequest.span.context, 0us,
@@ -186,11 +193,11 @@
   return true;
 }
 
-/// Whether a request may begin though its chain's window is full.
-bool ModelHandler::MayOverfill(const Request& aRequest) {
-  const Organisation& organisation = *aRequest.facts.organisation;
-  const double most = kOverfill * aRequest.planner->LocalWindow();
-  return aRequest.planner->InFlight() + 1 <= most &&
+/// Whether a request may start although its chain's window is full.
+bool ModelHandler::CanOverfill(const Request& aRequest) {
+  const Organisation& organisation = *aRequest.caller.organisation;
+  const double maxInFlight = kOverfillFactor * aRequest.planner->LocalWindow();
+  return aRequest.planner->InFlight() + 1 <= maxInFlight &&
          this->QueueOf(aRequest).IsUnderShare(organisation.name,
                                               organisation.weight);
 }
@@ -199,7 +206,7 @@
   while (const std::optional<QueuedRequest> next = aQueue.Peek(aNow)) {
     Request* request = this->Find(next->id);
     ZINCSTEP_ASSERT(request != nullptr);
-    if (!this->TryStart(*request) && !request->isOver) {
+    if (!this->TryStart(*request) && !request->hasEnded) {
       break;
     }
     aQueue.Dequeue(next->id);
@@ -207,13 +214,13 @@
 }
 
 void ModelHandler::RefuseExpired(FairQueue& aQueue, Instant aNow) {
-  for (const QueuedRequest& late : aQueue.PopExpired(aNow)) {
-    Request* request = this->Find(late.id);
+  for (const QueuedRequest& expired : aQueue.PopExpired(aNow)) {
+    Request* request = this->Find(expired.id);
     ZINCSTEP_ASSERT(request != nullptr);
-    const bool deadline = request->facts.deadline <= aNow;
-    this->RefuseWaiting(*request, {deadline ? ErrorKind::DeadlineBeforeRun
-                                            : ErrorKind::Overloaded,
-                                   "the request's turn did not come in time",
+    const bool isPastDeadline = request->caller.deadline <= aNow;
+    this->RefuseWaiting(*request, {isPastDeadline ? ErrorKind::DeadlineBeforeRun
+                                                  : ErrorKind::Overloaded,
+                                   "the request was not started in time",
                                    {}});
   }
 }
--- a/Zincstep/Entry/ModelHandler.cpp
+++ b/Zincstep/Entry/ModelHandler.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-/// Request numbers of two incarnations of a daemon must not meet at an
-/// engine, so that they begin at a random place.
+/// Request numbers start at a random value below this, so that those of two
+/// incarnations of a daemon do not collide at an engine.
 constexpr std::uint64_t kFirstRequestSpread = std::uint64_t{1} << 52;
 
-constexpr std::size_t kKeptRoutes = 512;
+constexpr std::size_t kMaxRoutes = 512;
 constexpr std::int64_t kMicrosPerSecond = 1'000'000;
-/// Times that a request without a token yet is begun.
-constexpr int kMostStarts = 3;
+/// Maximum number of starts of a request that has no token yet.
+constexpr int kMaxStarts = 3;
 
 }  // namespace
 
@@ -25,53 +25,53 @@
       claims(aClaims),
       pool(aPool),
       lastRequest(aContext.random.Below(kFirstRequestSpread)),
-      routes(kKeptRoutes) {}
+      routes(kMaxRoutes) {}
 
 ModelHandler::~ModelHandler() = default;
 
 ModelHandler::Request* ModelHandler::Find(std::uint64_t aRequest) {
   const auto found = this->requests.find(aRequest);
-  return found == this->requests.end() || found->second->isOver
+  return found == this->requests.end() || found->second->hasEnded
              ? nullptr
              : found->second.get();
 }
 
 void ModelHandler::Remove(std::uint64_t aRequest) {
   const auto found = this->requests.find(aRequest);
-  if (found == this->requests.end() || found->second->isOver) {
+  if (found == this->requests.end() || found->second->hasEnded) {
     return;
   }
-  found->second->isOver = true;
+  found->second->hasEnded = true;
   this->byExchange.erase(found->second->exchange);
-  // Callers up the stack may still use it: it is freed at the next tick.
-  this->over.push_back(aRequest);
+  // Functions up the call stack may still use it; the next tick frees it.
+  this->ended.push_back(aRequest);
 }
 
 void ModelHandler::OnModelList(const HttpRequest& aRequest) {
-  const Result<CallerInfo> facts = ReadCallerFacts(
+  const Result<CallerInfo> caller = ParseCallerInfo(
       aRequest, *this->context.snapshot, LimitsOf(this->context.settings),
       this->context.clock.Now(), this->context.random);
-  if (!facts) {
-    this->context.Refuse(aRequest.exchange, facts.error());
+  if (!caller) {
+    this->context.Refuse(aRequest.exchange, caller.error());
     return;
   }
   this->context.callers.Respond(
       aRequest.exchange, JsonResponse(ModelListText(*this->context.snapshot,
-                                                    *facts->organisation)));
+                                                    *caller->organisation)));
 }
 
 void ModelHandler::OnRequest(const HttpRequest& aRequest, bool aIsChat) {
   const Instant now = this->context.clock.Now();
-  Result<CallerInfo> facts = ReadCallerFacts(aRequest, *this->context.snapshot,
-                                             LimitsOf(this->context.settings),
-                                             now, this->context.random);
-  if (!facts) {
-    this->context.Refuse(aRequest.exchange, facts.error());
+  Result<CallerInfo> caller = ParseCallerInfo(aRequest, *this->context.snapshot,
+                                              LimitsOf(this->context.settings),
+                                              now, this->context.random);
+  if (!caller) {
+    this->context.Refuse(aRequest.exchange, caller.error());
     return;
   }
-  Result<CompletionRequest> asked = ReadCompletion(aRequest.body, aIsChat);
-  if (!asked) {
-    this->context.Refuse(aRequest.exchange, asked.error());
+  Result<CompletionRequest> completion = ReadCompletion(aRequest.body, aIsChat);
+  if (!completion) {
+    this->context.Refuse(aRequest.exchange, completion.error());
     return;
   }
   auto owned = std::make_unique<Request>();
@@ -79,20 +79,20 @@
   request.id = ++this->lastRequest;
   request.exchange = aRequest.exchange;
   request.snapshot = this->context.snapshot;
-  request.facts = std::move(*facts);
-  request.asked = std::move(*asked);
-  request.came = now;
+  request.caller = std::move(*caller);
+  request.completion = std::move(*completion);
+  request.receivedAt = now;
   request.digest = RequestDigest(aRequest);
-  request.isKeyed = !request.facts.idempotencyKey.empty();
-  request.span = this->context.tracer.Begin("request", request.facts.trace);
+  request.isKeyed = !request.caller.idempotencyKey.empty();
+  request.span = this->context.tracer.Begin("request", request.caller.trace);
   const std::uint64_t id = request.id;
   this->requests[id] = std::move(owned);
   this->byExchange[request.exchange] = id;
   this->context.metrics.Count("zincstep_requests_total", {{"kind", "model"}});
   if (request.isKeyed) {
     this->claims.Begin(id,
-                       ClaimKey(request.facts.organisation->name,
-                                request.facts.idempotencyKey),
+                       ClaimKey(request.caller.organisation->name,
+                                request.caller.idempotencyKey),
                        request.digest, *this);
     return;
   }
@@ -101,18 +101,19 @@
 
 void ModelHandler::Start(Request& aRequest, const Choice& aChoice) {
   const Instant now = this->context.clock.Now();
-  const Organisation& organisation = *aRequest.facts.organisation;
+  const Organisation& organisation = *aRequest.caller.organisation;
   aRequest.isWaiting = false;
   aRequest.starts += 1;
   FairQueue& queue = this->QueueOf(aRequest);
   queue.OnBegin(organisation.name, organisation.weight,
                 aRequest.ExpectedCharge());
   this->context.limits.Charge(organisation.name, aRequest.promptTokens, now);
-  aRequest.head = {"cmpl-" + std::to_string(aRequest.id), aRequest.asked.model,
-                   WallMicros() / kMicrosPerSecond, aRequest.asked.isChat};
+  aRequest.head = {"cmpl-" + std::to_string(aRequest.id),
+                   aRequest.completion.model, WallMicros() / kMicrosPerSecond,
+                   aRequest.completion.isChat};
   StreamSettings settings;
   settings.maxTokens = aRequest.maxTokens;
-  settings.deadline = aRequest.facts.deadline;
+  settings.deadline = aRequest.caller.deadline;
   settings.firstAttempt = aRequest.nextAttempt;
   aRequest.repairer = std::make_unique<PlannerRepairer>(aRequest.planner);
   aRequest.machine = std::make_unique<StreamMachine>(
@@ -120,42 +121,45 @@
       *aRequest.repairer);
   aRequest.lastToken = now;
   this->context.metrics.Observe("zincstep_queue_seconds",
-                                ToSeconds(now - aRequest.came));
-  this->Carry(aRequest, aRequest.machine->Start(aChoice.chain, now));
+                                ToSeconds(now - aRequest.receivedAt));
+  this->ApplyActions(aRequest, aRequest.machine->Start(aChoice.chain, now));
 }
 
-void ModelHandler::EndCharge(Request& aRequest) {
+void ModelHandler::SettleCharge(Request& aRequest) {
   const double tokens = aRequest.machine->Filter().NextPosition();
-  this->QueueOf(aRequest).OnEnd(aRequest.facts.organisation->name,
+  this->QueueOf(aRequest).OnEnd(aRequest.caller.organisation->name,
                                 aRequest.ExpectedCharge(),
                                 {aRequest.promptTokens, tokens});
 }
 
-void ModelHandler::LeaveChain(Request& aRequest) {
-  if (aRequest.heldChain) {
-    aRequest.planner->OnEnd(*aRequest.heldChain);
-    aRequest.heldChain.reset();
+void ModelHandler::ReleaseChain(Request& aRequest) {
+  if (aRequest.currentChain) {
+    aRequest.planner->OnEnd(*aRequest.currentChain);
+    aRequest.currentChain.reset();
   }
 }
 
-void ModelHandler::Carry(Request& aRequest, const StreamActions& aActions) {
+void ModelHandler::ApplyActions(Request& aRequest,
+                                const StreamActions& aActions) {
   for (const StreamAction& action : aActions) {
     if (const auto* start = std::get_if<StartAttempt>(&action)) {
       this->StartAttemptOf(aRequest, *start);
     } else if (const auto* abandon = std::get_if<AbandonAttempt>(&action)) {
       this->context.engines.Abandon(aRequest.id, abandon->attempt);
     } else if (const auto* release = std::get_if<ReleaseStages>(&action)) {
-      this->ReleaseOn(aRequest, *release);
+      this->ReleaseStagesOf(aRequest, *release);
     } else if (const auto* emit = std::get_if<EmitToken>(&action)) {
       this->Emit(aRequest, *emit);
     } else if (const auto* probe = std::get_if<ProbeStages>(&action)) {
       this->ProbeStagesOf(aRequest, *probe);
-    } else if (const auto* blame = std::get_if<ReportHopFailure>(&action)) {
-      aRequest.planner->Loads().OnFailure(blame->replica,
+    } else if (const auto* hopFailure =
+                   std::get_if<ReportHopFailure>(&action)) {
+      aRequest.planner->Loads().OnFailure(hopFailure->replica,
                                           this->context.clock.Now());
       this->context.metrics.Count(
           "zincstep_hop_failures_total",
-          {{"failure", std::string(NameIn(kHopFailureNames, blame->failure))}});
+          {{"failure",
+            std::string(NameIn(kHopFailureNames, hopFailure->failure))}});
     } else if (const auto* finish = std::get_if<FinishStream>(&action)) {
       this->Finish(aRequest, *finish);
     } else if (const auto* fail = std::get_if<FailStream>(&action)) {
@@ -167,22 +171,22 @@
 void ModelHandler::StartAttemptOf(Request& aRequest,
                                   const StartAttempt& aAction) {
   const Instant now = this->context.clock.Now();
-  this->LeaveChain(aRequest);
+  this->ReleaseChain(aRequest);
   aRequest.planner->OnStart(aAction.chain);
-  aRequest.heldChain = aAction.chain;
+  aRequest.currentChain = aAction.chain;
   const auto& replicas = aRequest.planner->GetFleet().replicas;
   EngineAttempt attempt;
   attempt.request = aRequest.id;
   attempt.attempt = aAction.attempt;
   attempt.model = aRequest.model->name;
   attempt.version = aRequest.version;
-  attempt.adapter = aRequest.asked.adapter;
-  attempt.cacheSalt = aRequest.facts.organisation->name;
-  attempt.priority = aRequest.facts.priority;
-  attempt.prompt = aRequest.asked.prompt;
+  attempt.adapter = aRequest.completion.adapter;
+  attempt.cacheSalt = aRequest.caller.organisation->name;
+  attempt.priority = aRequest.caller.priority;
+  attempt.prompt = aRequest.completion.prompt;
   attempt.tokens = aRequest.machine->Tokens();
   attempt.maxTokens = aRequest.maxTokens;
-  attempt.timeLeft = std::max<Micros>(1ms, aRequest.facts.deadline - now);
+  attempt.timeLeft = std::max<Micros>(1ms, aRequest.caller.deadline - now);
   attempt.traceParent = aRequest.span.context.Header();
   nlohmann::json hops = nlohmann::json::array();
   for (const AttemptStage& stage : aAction.stages) {
@@ -203,7 +207,7 @@
   aRequest.attempts.push_back(
       {{"attempt", aAction.attempt},
        {"from_token", aRequest.machine->Tokens().size()},
-       {"after_ms", (now - aRequest.came).count() / 1000},
+       {"after_ms", (now - aRequest.receivedAt).count() / 1000},
        {"hops", std::move(hops)}});
   if (aAction.attempt > 1) {
     aRequest.lastGapStart = aRequest.lastToken;
@@ -216,7 +220,8 @@
   this->context.engines.Start(std::move(attempt));
 }
 
-void ModelHandler::ReleaseOn(Request& aRequest, const ReleaseStages& aAction) {
+void ModelHandler::ReleaseStagesOf(Request& aRequest,
+                                   const ReleaseStages& aAction) {
   const auto& replicas = aRequest.planner->GetFleet().replicas;
   for (const int replica : aAction.replicas) {
     this->context.engines.Release(
@@ -238,16 +243,16 @@
 
 void ModelHandler::Emit(Request& aRequest, const EmitToken& aAction) {
   const Instant now = this->context.clock.Now();
-  const Organisation& organisation = *aRequest.facts.organisation;
+  const Organisation& organisation = *aRequest.caller.organisation;
   const bool isFirst = aAction.position == 0;
   this->context.metrics.Observe(
       isFirst ? "zincstep_first_token_seconds" : "zincstep_token_gap_seconds",
-      ToSeconds(now - (isFirst ? aRequest.came : aRequest.lastToken)));
+      ToSeconds(now - (isFirst ? aRequest.receivedAt : aRequest.lastToken)));
   aRequest.lastToken = now;
   this->context.limits.Charge(organisation.name, 1, now);
   this->served[organisation.name] += 1;
   aRequest.text += aAction.text;
-  if (!aRequest.asked.stream) {
+  if (!aRequest.completion.stream) {
     return;
   }
   if (!aRequest.streamStarted) {
@@ -264,54 +269,55 @@
 
 void ModelHandler::Finish(Request& aRequest, const FinishStream& aAction) {
   const int tokens = aRequest.machine->Filter().NextPosition();
-  const std::string whole =
-      WholeAnswerText(aRequest.head, aRequest.text, aAction.reason,
-                      aRequest.countedPrompt, tokens);
-  if (aRequest.asked.stream) {
-    this->context.callers.Append(aRequest.exchange,
-                                 EndEventText(aRequest.head, aAction.reason,
-                                              aRequest.countedPrompt, tokens));
+  const std::string body =
+      FullResponseText(aRequest.head, aRequest.text, aAction.reason,
+                       aRequest.actualPromptTokens, tokens);
+  if (aRequest.completion.stream) {
+    this->context.callers.Append(
+        aRequest.exchange, EndEventText(aRequest.head, aAction.reason,
+                                        aRequest.actualPromptTokens, tokens));
     this->context.callers.Finish(aRequest.exchange);
   } else {
-    HttpResponse answer = JsonResponse(whole);
-    answer.headers.push_back({"zincstep-request-id", aRequest.head.id});
-    this->context.callers.Respond(aRequest.exchange, std::move(answer));
+    HttpResponse response = JsonResponse(body);
+    response.headers.push_back({"zincstep-request-id", aRequest.head.id});
+    this->context.callers.Respond(aRequest.exchange, std::move(response));
   }
   if (aRequest.isKeyed) {
-    const CachedResponse kept{200, "application/json", whole, false};
-    this->claims.Finish(aRequest.id, &kept);
+    const CachedResponse cached{200, "application/json", body, false};
+    this->claims.Finish(aRequest.id, &cached);
   }
-  if (aRequest.heldChain) {
-    aRequest.planner->RecordPrefix(aRequest.prefixHashes, *aRequest.heldChain);
-    for (const ChainHop& hop : aRequest.heldChain->hops) {
+  if (aRequest.currentChain) {
+    aRequest.planner->RecordPrefix(aRequest.prefixHashes,
+                                   *aRequest.currentChain);
+    for (const ChainHop& hop : aRequest.currentChain->hops) {
       aRequest.planner->Loads().OnSuccess(hop.replica);
     }
   }
-  this->LeaveChain(aRequest);
-  this->EndCharge(aRequest);
+  this->ReleaseChain(aRequest);
+  this->SettleCharge(aRequest);
   this->EndSpan(aRequest, "whole");
   this->Remove(aRequest.id);
 }
 
-bool ModelHandler::StartAnew(Request& aRequest, const FailStream& aAction) {
-  // Without a token nothing of the answer stands: the request may begin
-  // again, perhaps in another version, whose upstreams were not lost.
-  const bool may = aAction.tokens == 0 && aRequest.starts < kMostStarts &&
-                   aAction.error.kind == ErrorKind::ResponseIncomplete;
-  if (!may) {
+bool ModelHandler::Restart(Request& aRequest, const FailStream& aAction) {
+  // The caller has received nothing yet, so the request can start again,
+  // perhaps in another version whose upstreams were not lost.
+  const bool canRestart = aAction.tokens == 0 && aRequest.starts < kMaxStarts &&
+                          aAction.error.kind == ErrorKind::ResponseIncomplete;
+  if (!canRestart) {
     return false;
   }
   aRequest.nextAttempt = aRequest.machine->Filter().Attempt() + 1;
-  this->LeaveChain(aRequest);
-  this->EndCharge(aRequest);
+  this->ReleaseChain(aRequest);
+  this->SettleCharge(aRequest);
   aRequest.machine.reset();
-  aRequest.isAnew = true;
+  aRequest.isRestarted = true;
   this->Admit(aRequest);
   return true;
 }
 
 void ModelHandler::FailRunning(Request& aRequest, const FailStream& aAction) {
-  if (this->StartAnew(aRequest, aAction)) {
+  if (this->Restart(aRequest, aAction)) {
     return;
   }
   this->context.metrics.Count(
@@ -326,14 +332,14 @@
                                   ErrorResponse(aAction.error));
   }
   this->claims.Finish(aRequest.id, nullptr);
-  this->LeaveChain(aRequest);
-  this->EndCharge(aRequest);
+  this->ReleaseChain(aRequest);
+  this->SettleCharge(aRequest);
   this->EndSpan(aRequest, std::string(ErrorInfoFor(aAction.error.kind).name));
   this->Remove(aRequest.id);
 }
 
 void ModelHandler::RefuseWaiting(Request& aRequest, const Error& aError) {
-  if (aRequest.isAnew) {
+  if (aRequest.isRestarted) {
     this->context.Refuse(
         aRequest.exchange,
         {ErrorKind::ResponseIncomplete, aError.message, aError.retryAfter});
@@ -348,8 +354,8 @@
 
 void ModelHandler::EndSpan(Request& aRequest, const std::string& aOutcome) {
   aRequest.span.attributes["outcome"] = aOutcome;
-  aRequest.span.attributes["organisation"] = aRequest.facts.organisation->name;
-  aRequest.span.attributes["model"] = aRequest.asked.model;
+  aRequest.span.attributes["organisation"] = aRequest.caller.organisation->name;
+  aRequest.span.attributes["model"] = aRequest.completion.model;
   if (aRequest.machine) {
     aRequest.span.attributes["tokens"] =
         aRequest.machine->Filter().NextPosition();
@@ -359,11 +365,11 @@
   if (!aRequest.head.id.empty()) {
     this->routes.Add(aRequest.head.id,
                      {{"request", aRequest.head.id},
-                      {"organisation", aRequest.facts.organisation->name},
-                      {"model", aRequest.asked.model},
+                      {"organisation", aRequest.caller.organisation->name},
+                      {"model", aRequest.completion.model},
                       {"version", aRequest.version},
                       {"outcome", aOutcome},
-                      {"trace", aRequest.facts.trace.traceId},
+                      {"trace", aRequest.caller.trace.traceId},
                       {"attempts", aRequest.attempts}});
   }
 }
@@ -379,10 +385,10 @@
     this->QueueOf(*request).Remove(request->id);
     this->claims.Release(request->id);
   } else if (request->machine) {
-    this->Carry(*request, request->machine->OnCallerDisconnected());
+    this->ApplyActions(*request, request->machine->OnCallerDisconnected());
     this->claims.Finish(request->id, nullptr);
-    this->LeaveChain(*request);
-    this->EndCharge(*request);
+    this->ReleaseChain(*request);
+    this->SettleCharge(*request);
   }
   this->EndSpan(*request, "caller_gone");
   this->Remove(request->id);
@@ -396,7 +402,7 @@
     return;
   }
   if (aEvent.promptTokens > 0) {
-    request->countedPrompt = aEvent.promptTokens;
+    request->actualPromptTokens = aEvent.promptTokens;
   }
   const StepCounts before = request->machine->Filter().Counts();
   const Chain chain = request->machine->CurrentChain();
@@ -424,22 +430,23 @@
           ToSeconds(aEvent.stages[hop].compute) / std::max(declared, 1e-6));
     }
   }
-  this->Carry(*request, actions);
+  this->ApplyActions(*request, actions);
 }
 
 void ModelHandler::OnAttemptFailed(std::uint64_t aRequest, int aAttempt,
                                    int aStage, HopFailure aFailure) {
   if (Request* request = this->Find(aRequest); request && request->machine) {
-    this->Carry(*request,
-                request->machine->OnFailure(aAttempt, aStage, aFailure,
-                                            this->context.clock.Now()));
+    this->ApplyActions(*request,
+                       request->machine->OnFailure(aAttempt, aStage, aFailure,
+                                                   this->context.clock.Now()));
   }
 }
 
 void ModelHandler::OnProgress(std::uint64_t aRequest, int aAttempt,
                               const std::vector<StageProgress>& aProgress) {
   if (Request* request = this->Find(aRequest); request && request->machine) {
-    this->Carry(*request, request->machine->OnProgress(aAttempt, aProgress));
+    this->ApplyActions(*request,
+                       request->machine->OnProgress(aAttempt, aProgress));
   }
 }
 
@@ -449,14 +456,14 @@
     this->StartWaiting(queue, aNow);
   }
   for (const auto& [id, request] : this->requests) {
-    if (!request->isOver && request->machine) {
-      this->Carry(*request, request->machine->OnTimer(aNow));
+    if (!request->hasEnded && request->machine) {
+      this->ApplyActions(*request, request->machine->OnTimer(aNow));
     }
   }
-  for (const std::uint64_t id : this->over) {
+  for (const std::uint64_t id : this->ended) {
     this->requests.erase(id);
   }
-  this->over.clear();
+  this->ended.clear();
 }
 
 }  // namespace zincstep
--- a/Zincstep/Entry/ModelHandler.h
+++ b/Zincstep/Entry/ModelHandler.h
@@ -15,33 +15,40 @@
 
 namespace zincstep {
 
-/// Answers requests for tokens: admission, choice, streams, recovery.
+/// Handles completion requests: admission, choice of chain, streaming and
+/// recovery.
 class ModelHandler : private ClaimListener {
  public:
   ModelHandler(EntryContext& aContext, ClaimCoordinator& aClaims,
                ModelPool& aPool);
   ~ModelHandler() override;
 
-  /// A caller asks for tokens.
+  /// Handles a completion request.
   void OnRequest(const HttpRequest& aRequest, bool aIsChat);
-  /// A caller asks which models it may use.
+  /// Responds with the models that the caller's organisation may use.
   void OnModelList(const HttpRequest& aRequest);
-  /// The caller of an exchange has gone.
+  /// Cancels the request of a caller that has disconnected.
   void OnCallerDisconnected(ExchangeId aExchange);
+  /// Handles a step that an engine sent; ignores unknown requests.
   void OnToken(const TokenEvent& aEvent);
+  /// Handles a failed attempt; `aStage` is the stage at fault, or -1 if
+  /// unknown.
   void OnAttemptFailed(std::uint64_t aRequest, int aAttempt, int aStage,
                        HopFailure aFailure);
+  /// Handles the responses of the stages to a probe.
   void OnProgress(std::uint64_t aRequest, int aAttempt,
                   const std::vector<StageProgress>& aProgress);
-  /// Time has passed, or capacity may have become free.
+  /// Starts queued requests, expires timeouts and frees ended requests; must be
+  /// called periodically.
   void OnTick(Instant aNow);
 
-  /// Requests that wait or run.
-  std::size_t Open() const { return this->requests.size(); }
+  /// Number of queued and running requests.
+  std::size_t OpenRequests() const { return this->requests.size(); }
+  /// Number of queued requests.
   std::size_t Waiting() const;
-  /// The ways that the last requests took.
+  /// Routes of the latest requests.
   const RouteLog& Routes() const { return this->routes; }
-  /// Tokens that organisations were served, for operators.
+  /// Number of tokens served to each organisation.
   const std::map<std::string, double>& Served() const { return this->served; }
 
  private:
@@ -57,19 +64,19 @@
   void RefuseExpired(FairQueue& aQueue, Instant aNow);
   void StartWaiting(FairQueue& aQueue, Instant aNow);
   void OnClaim(std::uint64_t aRequest, ClaimVerdict aVerdict,
-               const Claim& aHolder) override;
-  void Carry(Request& aRequest, const StreamActions& aActions);
+               const Claim& aOwner) override;
+  void ApplyActions(Request& aRequest, const StreamActions& aActions);
   void StartAttemptOf(Request& aRequest, const StartAttempt& aAction);
-  void ReleaseOn(Request& aRequest, const ReleaseStages& aAction);
+  void ReleaseStagesOf(Request& aRequest, const ReleaseStages& aAction);
   void ProbeStagesOf(Request& aRequest, const ProbeStages& aAction);
   void Emit(Request& aRequest, const EmitToken& aAction);
   void Finish(Request& aRequest, const FinishStream& aAction);
   void FailRunning(Request& aRequest, const FailStream& aAction);
-  bool StartAnew(Request& aRequest, const FailStream& aAction);
+  bool Restart(Request& aRequest, const FailStream& aAction);
   void RefuseWaiting(Request& aRequest, const Error& aError);
-  void EndCharge(Request& aRequest);
-  bool MayOverfill(const Request& aRequest);
-  void LeaveChain(Request& aRequest);
+  void SettleCharge(Request& aRequest);
+  bool CanOverfill(const Request& aRequest);
+  void ReleaseChain(Request& aRequest);
   void EndSpan(Request& aRequest, const std::string& aOutcome);
   void Remove(std::uint64_t aRequest);
   Request* Find(std::uint64_t aRequest);
@@ -77,12 +84,13 @@
   EntryContext& context;
   ClaimCoordinator& claims;
   ModelPool& pool;
-  /// One queue a model: models do not share capacity.
+  /// One queue per model, as models do not share capacity.
   std::map<std::string, FairQueue> queues;
   std::uint64_t lastRequest;
   std::unordered_map<std::uint64_t, RequestPtr> requests;
   std::unordered_map<ExchangeId, std::uint64_t> byExchange;
-  std::vector<std::uint64_t> over;
+  /// Ended requests, freed at the next tick.
+  std::vector<std::uint64_t> ended;
   std::map<std::string, double> served;
   RouteLog routes;
 };
--- a/Zincstep/Entry/ModelPool.cpp
+++ b/Zincstep/Entry/ModelPool.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr Micros kLeastPlanInterval = 200ms;
+constexpr Micros kMinPlanInterval = 200ms;
 constexpr Micros kDriftInterval = 5s;
-/// A change of an upstream's strength by this much makes a plan worth it.
+/// Change of an upstream's usable share that triggers a new plan.
 constexpr double kPlanDrift = 0.15;
-/// An upstream that did not answer for longer is not counted as reachable.
-constexpr Micros kHeardLife = 6s;
+/// An upstream whose last report is older counts as unreachable.
+constexpr Micros kMaxReportAge = 6s;
 
-/// Whether plans for one fleet hold for the other; versions may differ.
+/// Whether plans for one fleet are valid for the other; versions may differ.
 bool SamePlanning(const Fleet& aLeft, const Fleet& aRight) {
   const auto sameReplica = [](const FleetReplica& aA, const FleetReplica& aB) {
     return aA.name == aB.name && aA.address == aB.address &&
@@ -59,10 +59,11 @@
     for (std::size_t i = 0; i < state.fleet.replicas.size(); ++i) {
       const FleetReplica& replica = state.fleet.replicas[i];
       const auto actual = this->actualVersions.find(replica.name);
-      const std::string& holds = actual == this->actualVersions.end()
-                                     ? replica.version
-                                     : actual->second;
-      planner->Loads().SetHoldsVersion(static_cast<int>(i), holds == version);
+      const std::string& loadedVersion = actual == this->actualVersions.end()
+                                             ? replica.version
+                                             : actual->second;
+      planner->Loads().SetHoldsVersion(static_cast<int>(i),
+                                       loadedVersion == version);
       planner->Loads().SetPaused(static_cast<int>(i),
                                  this->paused.contains(replica.name));
     }
@@ -77,14 +78,14 @@
     before[aBefore.fleet.replicas[i].name] = static_cast<int>(i);
   }
   aState.lastGood = aBefore.lastGood;
-  const bool plansHold = SamePlanning(aState.fleet, aBefore.fleet);
+  const bool arePlansValid = SamePlanning(aState.fleet, aBefore.fleet);
   for (auto& [version, state] : aState.versions) {
     const auto old = aBefore.versions.find(version);
     if (old == aBefore.versions.end()) {
       continue;
     }
-    if (plansHold) {
-      // Until the next plan there must be no moment without one.
+    if (arePlansValid) {
+      // The old plan stays active until the next one is computed.
       state.planner->SetPlan(old->second.planner->Plan());
     }
     for (std::size_t i = 0; i < aState.fleet.replicas.size(); ++i) {
@@ -106,16 +107,16 @@
   for (const Model& model : aSnapshot.configuration.models) {
     ModelState state = this->MakeState(aSnapshot, model);
     const auto old = this->models.find(model.name);
-    const bool same = old != this->models.end() &&
-                      SameFleet(old->second.fleet, state.fleet) &&
-                      old->second.model.versions == model.versions;
-    if (same) {
-      // Nothing that plans depend on has changed: keep what was learnt.
+    const bool isUnchanged = old != this->models.end() &&
+                             SameFleet(old->second.fleet, state.fleet) &&
+                             old->second.model.versions == model.versions;
+    if (isUnchanged) {
+      // No input of the plans has changed: keep the load state.
       state = std::move(old->second);
       state.model = model;
-      for (auto& [version, kept] : state.versions) {
-        if (std::exchange(kept.isOrdered, false)) {
-          kept.plannedShares.clear();
+      for (auto& [version, versionState] : state.versions) {
+        if (std::exchange(versionState.isPlanPending, false)) {
+          versionState.plannedShares.clear();
         }
       }
     } else if (old != this->models.end()) {
@@ -124,17 +125,17 @@
     next[model.name] = std::move(state);
   }
   this->models = std::move(next);
-  this->places.clear();
+  this->locations.clear();
   this->addresses.clear();
   this->kinds.clear();
   this->checksFence.clear();
-  for (const Upstream& one : aSnapshot.configuration.upstreams) {
-    this->checksFence[one.name] = one.checksFence;
+  for (const Upstream& upstream : aSnapshot.configuration.upstreams) {
+    this->checksFence[upstream.name] = upstream.checksFence;
   }
   for (const auto& [name, state] : this->models) {
     for (std::size_t i = 0; i < state.fleet.replicas.size(); ++i) {
       const FleetReplica& replica = state.fleet.replicas[i];
-      this->places[replica.name] = {name, static_cast<int>(i)};
+      this->locations[replica.name] = {name, static_cast<int>(i)};
       this->addresses[replica.name] = replica.address;
       this->kinds[replica.name] =
           aSnapshot.configuration.kinds[static_cast<std::size_t>(replica.kind)]
@@ -146,45 +147,45 @@
 void ModelPool::SetDaemons(int aDaemons) {
   this->daemons = aDaemons;
   for (auto& [name, state] : this->models) {
-    for (auto& [version, one] : state.versions) {
-      one.planner->Loads().SetDaemons(aDaemons);
+    for (auto& [version, versionState] : state.versions) {
+      versionState.planner->Loads().SetDaemons(aDaemons);
     }
   }
 }
 
 template <class Step>
 void ModelPool::ForUpstream(const std::string& aUpstream, Step aStep) {
-  const auto place = this->places.find(aUpstream);
-  if (place == this->places.end()) {
+  const auto location = this->locations.find(aUpstream);
+  if (location == this->locations.end()) {
     return;
   }
-  ModelState& state = this->models.at(place->second.model);
-  for (auto& [version, one] : state.versions) {
-    aStep(version, one.planner->Loads(), place->second.replica);
+  ModelState& state = this->models.at(location->second.model);
+  for (auto& [version, versionState] : state.versions) {
+    aStep(version, versionState.planner->Loads(), location->second.replica);
   }
 }
 
 void ModelPool::OnLoad(const std::string& aUpstream, double aSequences,
                        const std::string& aVersion) {
   const Instant now = this->clock.Now();
-  // An empty version says that it is loading one.
+  // An empty version means that the upstream is loading one.
   this->actualVersions[aUpstream] = aVersion;
   this->lastSeenAt[aUpstream] = now;
-  this->ForUpstream(
-      aUpstream, [&](const std::string& aOne, LoadTable& aLoads, int aReplica) {
-        aLoads.OnReport(aReplica, aSequences, now);
-        aLoads.SetHoldsVersion(aReplica, aOne == aVersion);
-      });
+  this->ForUpstream(aUpstream, [&](const std::string& aHeldVersion,
+                                   LoadTable& aLoads, int aReplica) {
+    aLoads.OnReport(aReplica, aSequences, now);
+    aLoads.SetHoldsVersion(aReplica, aHeldVersion == aVersion);
+  });
 }
 
 void ModelPool::SetPaused(const std::set<std::string>& aPaused) {
   if (aPaused == this->paused) {
     return;
   }
-  std::set<std::string> touched = this->paused;
-  touched.insert(aPaused.begin(), aPaused.end());
+  std::set<std::string> affected = this->paused;
+  affected.insert(aPaused.begin(), aPaused.end());
   this->paused = aPaused;
-  for (const std::string& upstream : touched) {
+  for (const std::string& upstream : affected) {
     const bool isPaused = this->paused.contains(upstream);
     this->ForUpstream(upstream,
                       [&](const std::string&, LoadTable& aLoads, int aReplica) {
@@ -195,12 +196,13 @@
 
 bool ModelPool::IsLocal(const std::string& aUpstream,
                         const std::string& aFailureDomain) const {
-  const auto place = this->places.find(aUpstream);
-  if (place == this->places.end()) {
+  const auto location = this->locations.find(aUpstream);
+  if (location == this->locations.end()) {
     return false;
   }
-  const ModelState& state = this->models.at(place->second.model);
-  return state.fleet.replicas[static_cast<std::size_t>(place->second.replica)]
+  const ModelState& state = this->models.at(location->second.model);
+  return state.fleet
+             .replicas[static_cast<std::size_t>(location->second.replica)]
              .failureDomain == aFailureDomain;
 }
 
@@ -221,15 +223,15 @@
       state.layers = replica.layers;
       state.declaredVersion = replica.version;
       state.checksFence = this->checksFence.at(replica.name);
-      const auto heard = this->lastSeenAt.find(replica.name);
-      state.reachable =
-          heard != this->lastSeenAt.end() && now - heard->second <= kHeardLife;
+      const auto lastSeen = this->lastSeenAt.find(replica.name);
+      state.reachable = lastSeen != this->lastSeenAt.end() &&
+                        now - lastSeen->second <= kMaxReportAge;
       const auto actual = this->actualVersions.find(replica.name);
       if (actual != this->actualVersions.end()) {
         state.actualVersion = actual->second;
       }
-      for (const auto& [version, one] : model.versions) {
-        const LoadTable& loads = one.planner->Loads();
+      for (const auto& [version, versionState] : model.versions) {
+        const LoadTable& loads = versionState.planner->Loads();
         state.sequences =
             std::max(state.sequences, loads.Estimate(static_cast<int>(i), now));
       }
@@ -260,14 +262,15 @@
     return;
   }
   VersionState& version = found->second.versions.at(aResult.version);
-  version.isOrdered = false;
+  version.isPlanPending = false;
   version.planner->SetPlan(std::move(aResult.plan));
-  this->NoteLastGood(found->second);
+  this->UpdateLastGood(found->second);
 }
 
-/// The declared version takes over alone once the last one has no chain; a
-/// version that runs is better than a declared one that does not yet.
-void ModelPool::NoteLastGood(ModelState& aState) {
+/// Updates the last good version, which stays the same while it has a path.
+/// Then it becomes the declared version if that one has a path, otherwise any
+/// version that has one.
+void ModelPool::UpdateLastGood(ModelState& aState) {
   const auto hasPath = [&](const std::string& aVersion) {
     const auto found = aState.versions.find(aVersion);
     return found != aState.versions.end() &&
@@ -280,7 +283,7 @@
     aState.lastGood = aState.model.serving;
     return;
   }
-  for (const auto& [version, one] : aState.versions) {
+  for (const auto& [version, versionState] : aState.versions) {
     if (hasPath(version)) {
       aState.lastGood = version;
     }
@@ -288,41 +291,41 @@
 }
 
 bool ModelPool::IsDue(const VersionState& aVersion, Instant aNow) const {
-  if (aVersion.isOrdered) {
+  if (aVersion.isPlanPending) {
     return false;
   }
   const std::vector<double>& before = aVersion.plannedShares;
   if (before.empty()) {
     return true;
   }
-  if (aNow - aVersion.plannedAt < kLeastPlanInterval) {
+  if (aNow - aVersion.plannedAt < kMinPlanInterval) {
     return false;
   }
   const std::vector<double> now = aVersion.planner->UsableShares(aNow);
-  const bool drifts = aNow - aVersion.plannedAt >= kDriftInterval;
+  const bool checksDrift = aNow - aVersion.plannedAt >= kDriftInterval;
   for (std::size_t i = 0; i < now.size(); ++i) {
-    const bool turned = (now[i] > 0) != (before[i] > 0);
+    const bool hasToggled = (now[i] > 0) != (before[i] > 0);
     const bool drifted = std::abs(now[i] - before[i]) > kPlanDrift;
-    if (turned || (drifts && drifted)) {
+    if (hasToggled || (checksDrift && drifted)) {
       return true;
     }
   }
   return false;
 }
 
-std::vector<PlanOrder> ModelPool::DuePlans() {
+std::vector<PlanRequest> ModelPool::DuePlans() {
   const Instant now = this->clock.Now();
-  std::vector<PlanOrder> due;
+  std::vector<PlanRequest> due;
   for (auto& [name, state] : this->models) {
-    for (auto& [version, one] : state.versions) {
-      if (!this->IsDue(one, now) || state.fleet.replicas.empty()) {
+    for (auto& [version, versionState] : state.versions) {
+      if (!this->IsDue(versionState, now) || state.fleet.replicas.empty()) {
         continue;
       }
-      one.isOrdered = true;
-      one.plannedAt = now;
-      one.plannedShares = one.planner->UsableShares(now);
-      due.push_back(
-          {name, version, this->generation, state.fleet, one.plannedShares});
+      versionState.isPlanPending = true;
+      versionState.plannedAt = now;
+      versionState.plannedShares = versionState.planner->UsableShares(now);
+      due.push_back({name, version, this->generation, state.fleet,
+                     versionState.plannedShares});
     }
   }
   return due;
@@ -340,15 +343,15 @@
   if (last == state.versions.end() || state.lastGood == declared) {
     return declared;
   }
-  // While a version rolls, both serve as much as they can carry.
+  // During a rollout, both versions serve in proportion to their capacities.
   const double newRate =
       state.versions.at(declared).planner->Plan().tokensPerSecond;
   const double oldRate = last->second.planner->Plan().tokensPerSecond;
   if (oldRate <= 0) {
     return declared;
   }
-  const bool takesNew = aRandom.Unit() * (newRate + oldRate) < newRate;
-  return takesNew ? declared : state.lastGood;
+  const bool useDeclared = aRandom.Unit() * (newRate + oldRate) < newRate;
+  return useDeclared ? declared : state.lastGood;
 }
 
 PlannerPtr ModelPool::Planner(const std::string& aModel,
@@ -362,14 +365,14 @@
                                                  : version->second.planner;
 }
 
-double ModelPool::OwnTokenRate(const std::string& aModel) {
+double ModelPool::LocalTokenRate(const std::string& aModel) {
   const auto found = this->models.find(aModel);
   if (found == this->models.end()) {
     return 0;
   }
   double rate = 0;
-  for (const auto& [version, one] : found->second.versions) {
-    rate += one.planner->Plan().tokensPerSecond;
+  for (const auto& [version, versionState] : found->second.versions) {
+    rate += versionState.planner->Plan().tokensPerSecond;
   }
   return rate / std::max(1, this->daemons);
 }
@@ -390,9 +393,9 @@
       view.layers = replica.layers;
       view.version = actual == this->actualVersions.end() ? replica.version
                                                           : actual->second;
-      for (const auto& [version, one] : state.versions) {
-        const LoadTable& loads = one.planner->Loads();
-        view.own += loads.LocalSequences(index);
+      for (const auto& [version, versionState] : state.versions) {
+        const LoadTable& loads = versionState.planner->Loads();
+        view.localSequences += loads.LocalSequences(index);
         if (version == view.version) {
           view.state = loads.State(index);
           view.sequences = loads.Estimate(index, now);
--- a/Zincstep/Entry/ModelPool.h
+++ b/Zincstep/Entry/ModelPool.h
@@ -14,59 +14,65 @@
 
 using PlannerPtr = std::shared_ptr<ChainPlanner>;
 
-/// One upstream as operators see it.
+/// State of one upstream, for operators.
 struct UpstreamView {
   std::string name;
   std::string model;
   std::string failureDomain;
   std::string kind;
   LayerRange layers;
+  /// The reported version, or the declared one before the first report.
   std::string version;
   ReplicaState state = ReplicaState::Up;
-  int own = 0;
+  /// Sequences that this daemon started there.
+  int localSequences = 0;
+  /// Estimated sequences of all daemons.
   double sequences = 0;
+  /// Measured time per step over the declared one.
   double stepRatio = 1;
 };
 
-/// The planners of all models, kept up to date by what is heard.
+/// The chain planners of all models, updated from load reports.
 class ModelPool {
  public:
   explicit ModelPool(const Clock& aClock) : clock(aClock) {}
 
-  /// Takes a new configuration; what was learnt of upstreams is kept.
+  /// Applies a new configuration; keeps the load state of upstreams that
+  /// remain.
   void SetSnapshot(const Snapshot& aSnapshot);
-  /// Daemons that share the load, this one included.
+  /// Sets the number of daemons that share the load, this one included.
   void SetDaemons(int aDaemons);
-  /// An upstream's load, from itself or from a peer.
+  /// Records an upstream's load, reported by itself or by a peer. An empty
+  /// version means that it is loading one.
   void OnLoad(const std::string& aUpstream, double aSequences,
               const std::string& aVersion);
-  /// An upstream did not answer.
+  /// Records that an upstream did not respond to a load query.
   void OnUnreachable(const std::string& aUpstream);
-  /// An upstream leaves.
+  /// Marks an upstream as leaving; it gets no new work.
   void SetLeaving(const std::string& aUpstream);
-  /// Sets the upstreams that get no new work for the time being.
+  /// Sets the paused upstreams, which get no new work.
   void SetPaused(const std::set<std::string>& aPaused);
-  /// Whether an upstream stands in that failure domain.
+  /// Whether an upstream is in the given failure domain.
   bool IsLocal(const std::string& aUpstream,
                const std::string& aFailureDomain) const;
-  /// The upstreams of a failure domain beside what is declared for them.
+  /// Returns the actual and declared state of a failure domain's upstreams.
   std::vector<UpstreamState> States(const std::string& aFailureDomain) const;
-  /// A plan was computed.
+  /// Applies a computed plan; ignores one of an earlier configuration.
   void OnPlan(PlanResult aResult);
-  /// Plans that are due, each at most once in a while.
-  std::vector<PlanOrder> DuePlans();
+  /// Returns the plan requests that are due, and marks them as pending.
+  std::vector<PlanRequest> DuePlans();
 
-  /// The version that a new request runs on: the declared one, or while it
-  /// rolls the one before, each as often as it has room.
+  /// Returns the version for a new request: the declared one or, during a
+  /// rollout, the previous one, in proportion to their capacities.
   std::string ServingVersion(const std::string& aModel, Random& aRandom);
-  /// The planner of a version, or null.
+  /// Returns the planner of a version, or null if there is none.
   PlannerPtr Planner(const std::string& aModel, const std::string& aVersion);
-  /// Tokens a second that this daemon's share of all fleets carries.
-  double OwnTokenRate(const std::string& aModel);
+  /// Tokens per second that this daemon's share of the model's capacity allows.
+  double LocalTokenRate(const std::string& aModel);
 
-  /// Every upstream, for operators.
+  /// Returns the state of every upstream, for operators.
   std::vector<UpstreamView> Views();
-  /// Upstreams by name with their addresses, for asking their load.
+  /// Addresses of the upstreams by name, for load queries.
   const std::map<std::string, std::string>& Addresses() const {
     return this->addresses;
   }
@@ -76,7 +82,7 @@
     PlannerPtr planner;
     std::vector<double> plannedShares;
     Instant plannedAt;
-    bool isOrdered = false;
+    bool isPlanPending = false;
   };
   struct ModelState {
     Model model;
@@ -84,14 +90,14 @@
     std::map<std::string, VersionState> versions;
     std::string lastGood;
   };
-  struct Place {
+  struct Location {
     std::string model;
     int replica = 0;
   };
 
   ModelState MakeState(const Snapshot& aSnapshot, const Model& aModel);
   void InheritLoads(ModelState& aState, const ModelState& aBefore);
-  void NoteLastGood(ModelState& aState);
+  void UpdateLastGood(ModelState& aState);
   bool IsDue(const VersionState& aVersion, Instant aNow) const;
   template <class Step>
   void ForUpstream(const std::string& aUpstream, Step aStep);
@@ -100,7 +106,7 @@
   std::uint64_t generation = 0;
   int daemons = 1;
   std::map<std::string, ModelState> models;
-  std::map<std::string, Place> places;
+  std::map<std::string, Location> locations;
   std::map<std::string, std::string> addresses;
   std::map<std::string, std::string> actualVersions;
   std::map<std::string, std::string> kinds;
--- a/Zincstep/Entry/ModelRequest.h
+++ b/Zincstep/Entry/ModelRequest.h
@@ -1,13 +1,13 @@
 #pragma once
 
 /// \file
-/// The state of one request for tokens; of the model desk alone.
+/// State of one completion request; private to the model handler.
 
 #include "Zincstep/Entry/ModelHandler.h"
 
 namespace zincstep {
 
-/// Repairs chains with one planner, for one stream.
+/// Repairs the chains of one stream with one planner.
 class PlannerRepairer final : public ChainRepairer {
  public:
   explicit PlannerRepairer(PlannerPtr aPlanner)
@@ -22,13 +22,13 @@
   PlannerPtr planner;
 };
 
-/// One request for tokens, from its coming to its end.
+/// One completion request, from arrival to end.
 struct ModelHandler::Request {
   std::uint64_t id = 0;
   ExchangeId exchange = 0;
   SnapshotPtr snapshot;
-  CallerInfo facts;
-  CompletionRequest asked;
+  CallerInfo caller;
+  CompletionRequest completion;
   const Model* model = nullptr;
   int maxTokens = 0;
   double promptTokens = 0;
@@ -37,11 +37,11 @@
   PlannerPtr planner;
   std::unique_ptr<PlannerRepairer> repairer;
   std::unique_ptr<StreamMachine> machine;
-  std::optional<Chain> heldChain;
-  AnswerHead head;
+  std::optional<Chain> currentChain;
+  ResponseHead head;
   std::string text;
-  int countedPrompt = 0;
-  Instant came;
+  int actualPromptTokens = 0;
+  Instant receivedAt;
   Instant lastToken;
   Instant lastGapStart;
   std::uint64_t digest = 0;
@@ -49,17 +49,17 @@
   int nextAttempt = 1;
   bool isKeyed = false;
   bool isWaiting = false;
-  bool isOver = false;
-  /// It was begun before, so that "not run" can't be said any more.
-  bool isAnew = false;
+  bool hasEnded = false;
+  /// It was started before, so errors must no longer claim that it was not run.
+  bool isRestarted = false;
   bool streamStarted = false;
   Span span;
-  /// What its organisation is charged when it begins.
+  /// Charge of the organisation when the request starts.
   TokenCharge ExpectedCharge() const {
     return {this->promptTokens, static_cast<double>(this->maxTokens)};
   }
 
-  /// Each attempt with its stages, for operators.
+  /// Each attempt with its stages, for the route log.
   nlohmann::json attempts = nlohmann::json::array();
 };
 
--- a/Zincstep/Entry/PeerHandler.cpp
+++ b/Zincstep/Entry/PeerHandler.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr Micros kTellInterval = 500ms;
-constexpr Micros kWantPause = 500ms;
-/// First characters of a digest that name a piece among one file's.
+constexpr Micros kControllerInterval = 500ms;
+constexpr Micros kConfigRequestInterval = 500ms;
+/// Length of the digest prefix that identifies a piece within one file.
 constexpr std::size_t kShortDigest = 12;
 
 std::int64_t WallMicrosAt(Instant aAt, Instant aNow) {
@@ -35,12 +35,12 @@
     this->claims.OnOrder(aMessage.replyTo, *order);
   } else if (const auto* vote = std::get_if<ClaimVoteMessage>(&aMessage.body)) {
     this->claims.OnVote(aMessage.sender, aMessage.replyTo, *vote);
-  } else if (const auto* want =
+  } else if (const auto* request =
                  std::get_if<ConfigWantMessage>(&aMessage.body)) {
-    this->OnWant(aMessage.replyTo, *want);
-  } else if (const auto* give =
+    this->OnConfigRequest(aMessage.replyTo, *request);
+  } else if (const auto* response =
                  std::get_if<ConfigGiveMessage>(&aMessage.body)) {
-    this->watcher.Offer(*give);
+    this->watcher.Submit(*response);
   } else if (const auto* lists =
                  std::get_if<MembersGiveMessage>(&aMessage.body)) {
     const Result<MemberLists> read = ReadMemberLists(lists->text);
@@ -73,49 +73,50 @@
     }
   }
   for (const std::string& upstream : aGossip.leaving) {
-    this->NoteLeaving(upstream);
+    this->MarkLeaving(upstream);
   }
   this->pausedBy[aGossip.vm] = aGossip.paused;
   this->ApplyPaused();
   if (!aGossip.handedTo.empty()) {
     this->context.members.handedTo[aGossip.member] = aGossip.handedTo;
   }
-  const std::uint64_t have =
+  const std::uint64_t activeRevision =
       this->context.snapshot ? this->context.snapshot->revision : 0;
   const bool isNew =
-      aGossip.revision > have && (aGossip.revision > this->wantedRevision ||
-                                  now - this->lastWant >= kWantPause);
+      aGossip.revision > activeRevision &&
+      (aGossip.revision > this->requestedRevision ||
+       now - this->lastConfigRequestAt >= kConfigRequestInterval);
   if (isNew) {
-    this->lastWant = now;
-    this->wantedRevision = aGossip.revision;
-    ConfigWantMessage want{have, {}};
+    this->lastConfigRequestAt = now;
+    this->requestedRevision = aGossip.revision;
+    ConfigWantMessage request{activeRevision, {}};
     if (this->context.snapshot) {
       for (const PieceName& name : this->context.snapshot->pieces.names) {
-        want.haveDigests.push_back(name.digest.substr(0, kShortDigest));
+        request.haveDigests.push_back(name.digest.substr(0, kShortDigest));
       }
     }
-    this->context.Send(aReplyTo, std::move(want));
+    this->context.Send(aReplyTo, std::move(request));
   }
   if (aGossip.membersVersion > this->context.members.version) {
     this->context.Send(aReplyTo, MembersWantMessage{});
   }
 }
 
-void PeerHandler::OnWant(const std::string& aReplyTo,
-                         const ConfigWantMessage& aWant) {
+void PeerHandler::OnConfigRequest(const std::string& aReplyTo,
+                                  const ConfigWantMessage& aRequest) {
   const SnapshotPtr& snapshot = this->context.snapshot;
-  if (snapshot == nullptr || snapshot->revision <= aWant.haveRevision) {
+  if (snapshot == nullptr || snapshot->revision <= aRequest.haveRevision) {
     return;
   }
-  const std::set<std::string> have(aWant.haveDigests.begin(),
-                                   aWant.haveDigests.end());
-  ConfigGiveMessage give{snapshot->revision, snapshot->root, {}};
+  const std::set<std::string> knownDigests(aRequest.haveDigests.begin(),
+                                           aRequest.haveDigests.end());
+  ConfigGiveMessage response{snapshot->revision, snapshot->root, {}};
   for (const auto& [digest, text] : snapshot->pieces.texts) {
-    if (!have.contains(digest.substr(0, kShortDigest))) {
-      give.pieces.emplace_back(digest, text);
+    if (!knownDigests.contains(digest.substr(0, kShortDigest))) {
+      response.pieces.emplace_back(digest, text);
     }
   }
-  this->context.Send(aReplyTo, std::move(give));
+  this->context.Send(aReplyTo, std::move(response));
 }
 
 void PeerHandler::ApplyMembers(const MemberLists& aLists) {
@@ -124,12 +125,12 @@
   }
   const auto handedTo = this->context.members.handedTo;
   this->context.members = aLists;
-  // What was heard of hand-overs may be ahead of the agreed record.
+  // Gossip about handovers can be ahead of the agreed lists.
   this->context.members.handedTo.insert(handedTo.begin(), handedTo.end());
 }
 
-void PeerHandler::NoteLeaving(const std::string& aUpstream) {
-  if (!this->context.roster.OnLeaving(aUpstream)) {
+void PeerHandler::MarkLeaving(const std::string& aUpstream) {
+  if (!this->context.leavingUpstreams.OnLeaving(aUpstream)) {
     return;
   }
   this->pool.SetLeaving(aUpstream);
@@ -163,14 +164,14 @@
       names.push_back(peer->vm);
     }
     this->context.limits.SetPeers(names, now);
-    bool news = false;
+    bool hasChanges = false;
     for (const std::string& upstream :
-         this->context.roster.OnVmList(*aReport.vms)) {
+         this->context.leavingUpstreams.OnVmList(*aReport.vms)) {
       this->pool.SetLeaving(upstream);
       this->services.SetLeaving(upstream);
-      news = true;
+      hasChanges = true;
     }
-    if (news) {
+    if (hasChanges) {
       this->Gossip();
     }
   }
@@ -186,18 +187,18 @@
 
 void PeerHandler::OnLoad(const std::string& aUpstream,
                          const Result<EngineLoad>& aLoad) {
-  UpstreamLoad& own = this->ownLoads[aUpstream];
-  own.name = aUpstream;
-  own.reachable = aLoad.has_value();
+  UpstreamLoad& localLoad = this->localLoads[aUpstream];
+  localLoad.name = aUpstream;
+  localLoad.reachable = aLoad.has_value();
   if (!aLoad) {
     this->pool.OnUnreachable(aUpstream);
     return;
   }
-  own.sequences = aLoad->sequences;
-  own.version = aLoad->version;
+  localLoad.sequences = aLoad->sequences;
+  localLoad.version = aLoad->version;
   this->pool.OnLoad(aUpstream, aLoad->sequences, aLoad->version);
   if (aLoad->leaving) {
-    this->NoteLeaving(aUpstream);
+    this->MarkLeaving(aUpstream);
   }
 }
 
@@ -214,11 +215,11 @@
   gossip.stopping = this->context.stopping;
   gossip.handedTo = this->claims.HandedTo();
   gossip.usages = this->context.limits.Demands(now);
-  for (const auto& [name, load] : this->ownLoads) {
+  for (const auto& [name, load] : this->localLoads) {
     gossip.loads.push_back(load);
   }
-  gossip.leaving.assign(this->context.roster.Leaving().begin(),
-                        this->context.roster.Leaving().end());
+  gossip.leaving.assign(this->context.leavingUpstreams.Leaving().begin(),
+                        this->context.leavingUpstreams.Leaving().end());
   if (this->lastReport.paused) {
     gossip.paused = *this->lastReport.paused;
   }
@@ -231,36 +232,37 @@
   this->nextGossip = now + this->context.settings.gossipInterval;
 }
 
-void PeerHandler::AskLoads() {
+void PeerHandler::QueryLoads() {
   const Instant now = this->context.clock.Now();
-  std::map<std::string, UpstreamLoad> kept;
+  std::map<std::string, UpstreamLoad> retained;
   for (const auto& [name, address] : this->pool.Addresses()) {
     const bool isLocal =
         this->pool.IsLocal(name, this->context.settings.failureDomain);
     if (!isLocal || !this->context.peers.IsMine("load/" + name, now)) {
       continue;
     }
-    const auto known = this->ownLoads.find(name);
-    if (known != this->ownLoads.end()) {
-      kept.insert(*known);
+    const auto known = this->localLoads.find(name);
+    if (known != this->localLoads.end()) {
+      retained.insert(*known);
     }
     this->context.engines.QueryLoad(name, address);
   }
-  this->ownLoads = std::move(kept);
+  this->localLoads = std::move(retained);
 }
 
 std::vector<DaemonStatus> PeerHandler::Daemons() const {
   const Instant now = this->context.clock.Now();
   std::vector<DaemonStatus> daemons;
-  DaemonStatus own;
-  own.vm = this->context.settings.vm;
-  own.member = this->context.member;
-  own.address = this->context.settings.adminListen;
-  own.revision = this->context.snapshot ? this->context.snapshot->revision : 0;
-  own.isLive = true;
-  own.isStopping = this->context.stopping;
-  own.lastSeenAt = WallMicrosAt(now, now);
-  daemons.push_back(std::move(own));
+  DaemonStatus local;
+  local.vm = this->context.settings.vm;
+  local.member = this->context.member;
+  local.address = this->context.settings.adminListen;
+  local.revision =
+      this->context.snapshot ? this->context.snapshot->revision : 0;
+  local.isLive = true;
+  local.isStopping = this->context.stopping;
+  local.lastSeenAt = WallMicrosAt(now, now);
+  daemons.push_back(std::move(local));
   for (const PeerInfo* peer : this->context.peers.DomainPeers()) {
     DaemonStatus status;
     status.vm = peer->vm;
@@ -280,9 +282,9 @@
   const Instant now = this->context.clock.Now();
   const PeerInfo* best = nullptr;
   for (const PeerInfo* peer : this->context.peers.DomainPeers()) {
-    const bool lives = this->context.peers.IsLive(*peer, now) &&
-                       !peer->stopping && peer->handedTo.empty();
-    if (lives && (best == nullptr || peer->vm < best->vm)) {
+    const bool isEligible = this->context.peers.IsLive(*peer, now) &&
+                            !peer->stopping && peer->handedTo.empty();
+    if (isEligible && (best == nullptr || peer->vm < best->vm)) {
       best = peer;
     }
   }
@@ -297,8 +299,8 @@
   input.isStopping = this->context.stopping;
   input.daemons = this->Daemons();
   input.handedTo = this->context.members.handedTo;
-  input.leaving.assign(this->context.roster.Leaving().begin(),
-                       this->context.roster.Leaving().end());
+  input.leaving.assign(this->context.leavingUpstreams.Leaving().begin(),
+                       this->context.leavingUpstreams.Leaving().end());
   if (!this->context.stopping) {
     input.live.push_back({this->context.member,
                           this->context.settings.failureDomain,
@@ -311,24 +313,24 @@
     }
   }
   input.upstreams = this->pool.States(this->context.settings.failureDomain);
-  for (UpstreamState& one : input.upstreams) {
-    one.leaving = this->context.roster.IsLeaving(one.name);
+  for (UpstreamState& upstream : input.upstreams) {
+    upstream.leaving = this->context.leavingUpstreams.IsLeaving(upstream.name);
   }
   this->watcher.SetReader(input.isReader);
-  this->controller.Tell(std::move(input));
+  this->controller.SetInput(std::move(input));
 }
 
 void PeerHandler::OnTick(Instant aNow) {
   if (aNow >= this->nextLoads) {
     this->nextLoads = aNow + this->context.settings.loadInterval;
-    this->AskLoads();
+    this->QueryLoads();
     this->pool.SetDaemons(this->context.peers.LiveDaemons(aNow));
   }
   if (aNow >= this->nextGossip) {
     this->Gossip();
   }
-  if (aNow >= this->nextTell) {
-    this->nextTell = aNow + kTellInterval;
+  if (aNow >= this->nextControllerUpdate) {
+    this->nextControllerUpdate = aNow + kControllerInterval;
     this->UpdateController();
   }
 }
--- a/Zincstep/Entry/PeerHandler.h
+++ b/Zincstep/Entry/PeerHandler.h
@@ -13,37 +13,41 @@
 
 namespace zincstep {
 
-/// Speaks with the other entry daemons: load, demand, news, configuration.
+/// Exchanges load, demand, member lists and configurations with the other entry
+/// daemons.
 class PeerHandler {
  public:
   PeerHandler(EntryContext& aContext, ModelPool& aPool,
               ClaimCoordinator& aClaims, ServiceHandler& aServices,
               ConfigWatcher& aWatcher, DomainController& aController);
 
-  /// A message has come from a peer.
+  /// Handles a message of a peer.
   void OnMessage(const PeerMessage& aMessage);
-  /// The keeper has news.
+  /// Applies a report of the domain controller.
   void OnControllerReport(const DomainControllerReport& aReport);
-  /// An upstream has answered this daemon's question for its load.
+  /// Handles the result of a load query.
   void OnLoad(const std::string& aUpstream, const Result<EngineLoad>& aLoad);
-  /// Tells the peers at once, as after news.
+  /// Sends gossip to all peers at once, as after a change.
   void Gossip();
-  /// Time has passed.
+  /// Sends queries, gossip and controller input that are due; must be called
+  /// periodically.
   void OnTick(Instant aNow);
 
+  /// The last report of the domain controller.
   const DomainControllerReport& LastReport() const { return this->lastReport; }
-  /// The peer that takes over the claims of this daemon, or null.
+  /// Returns the peer that takes over the claims of this daemon, or null.
   const PeerInfo* Successor() const;
-  /// Daemons of this domain with what is in force there.
+  /// Returns the daemons of this domain with their active revisions.
   std::vector<DaemonStatus> Daemons() const;
 
  private:
   void OnGossip(const GossipMessage& aGossip, const std::string& aReplyTo);
-  void OnWant(const std::string& aReplyTo, const ConfigWantMessage& aWant);
+  void OnConfigRequest(const std::string& aReplyTo,
+                       const ConfigWantMessage& aRequest);
   void ApplyMembers(const MemberLists& aLists);
-  void NoteLeaving(const std::string& aUpstream);
+  void MarkLeaving(const std::string& aUpstream);
   void ApplyPaused();
-  void AskLoads();
+  void QueryLoads();
   void UpdateController();
 
   EntryContext& context;
@@ -53,14 +57,15 @@
   ConfigWatcher& watcher;
   DomainController& controller;
   DomainControllerReport lastReport;
-  /// Own last questions for load.
-  std::map<std::string, UpstreamLoad> ownLoads;
+  /// Results of this daemon's latest load queries, by upstream.
+  std::map<std::string, UpstreamLoad> localLoads;
+  /// Paused upstreams that each peer reported, by the peer's VM.
   std::map<std::string, std::vector<std::string>> pausedBy;
   Instant nextGossip;
   Instant nextLoads;
-  Instant nextTell;
-  Instant lastWant;
-  std::uint64_t wantedRevision = 0;
+  Instant nextControllerUpdate;
+  Instant lastConfigRequestAt;
+  std::uint64_t requestedRevision = 0;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Entry/PlanWorker.cpp
+++ b/Zincstep/Entry/PlanWorker.cpp
@@ -4,14 +4,15 @@
 
 namespace {
 
-constexpr std::size_t kOrders = 256;
+constexpr std::size_t kMaxRequests = 256;
 
 }  // namespace
 
 PlanWorker::PlanWorker(Sink aSink)
-    : orders(kOrders, [sink = std::move(aSink)](const PlanOrder& aOrder) {
-        sink({aOrder.model, aOrder.version, aOrder.generation,
-              ComputeFlowPlan(aOrder.fleet, aOrder.usableShares)});
-      }) {}
+    : requests(kMaxRequests,
+               [sink = std::move(aSink)](const PlanRequest& aRequest) {
+                 sink({aRequest.model, aRequest.version, aRequest.generation,
+                       ComputeFlowPlan(aRequest.fleet, aRequest.usableShares)});
+               }) {}
 
 }  // namespace zincstep
--- a/Zincstep/Entry/PlanWorker.h
+++ b/Zincstep/Entry/PlanWorker.h
@@ -8,17 +8,17 @@
 
 namespace zincstep {
 
-/// Asks for the flow plan of one version of one model.
-struct PlanOrder {
+/// Request for the flow plan of one version of a model.
+struct PlanRequest {
   std::string model;
   std::string version;
-  /// Tells plans of an earlier configuration from present ones.
+  /// Identifies the configuration, so that outdated plans can be ignored.
   std::uint64_t generation = 0;
   Fleet fleet;
   std::vector<double> usableShares;
 };
 
-/// A computed plan.
+/// A computed flow plan.
 struct PlanResult {
   std::string model;
   std::string version;
@@ -26,22 +26,24 @@
   FlowPlan plan;
 };
 
-/// Computes flow plans on a thread of its own.
+/// Computes flow plans on its own thread.
 ///
-/// A plan takes tens of milliseconds, as long as a token: the thread that
-/// drives the streams must not wait for it.
+/// A plan takes tens of milliseconds, as long as a token, so it must not block
+/// the thread that drives the streams.
 class PlanWorker {
  public:
   using Sink = std::function<void(PlanResult)>;
 
-  /// `aSink` is called on the worker's thread.
+  /// `aSink` receives each plan, on the worker's thread.
   explicit PlanWorker(Sink aSink);
 
-  /// Orders a plan; false where the worker is too far behind.
-  bool Order(PlanOrder aOrder) { return this->orders.Push(std::move(aOrder)); }
+  /// Queues a request; returns false if the queue is full.
+  bool Submit(PlanRequest aRequest) {
+    return this->requests.Push(std::move(aRequest));
+  }
 
  private:
-  TaskThread<PlanOrder> orders;
+  TaskThread<PlanRequest> requests;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Entry/ResponseWriter.cpp
+++ b/Zincstep/Entry/ResponseWriter.cpp
@@ -13,11 +13,11 @@
   return aJson.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-std::string EventOf(const Json& aJson) {
+std::string ServerSentEvent(const Json& aJson) {
   return "data: " + Dump(aJson) + "\n\n";
 }
 
-Json HeadJson(const AnswerHead& aHead, bool aIsPart) {
+Json HeadJson(const ResponseHead& aHead, bool aIsPart) {
   const char* kind = "text_completion";
   if (aHead.isChat) {
     kind = aIsPart ? "chat.completion.chunk" : "chat.completion";
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-std::string TokenEventText(const AnswerHead& aHead, const std::string& aText,
+std::string TokenEventText(const ResponseHead& aHead, const std::string& aText,
                            bool aIsFirst) {
   Json json = HeadJson(aHead, true);
   Json choice{{"index", 0}, {"finish_reason", nullptr}};
@@ -50,10 +50,10 @@
     choice["text"] = aText;
   }
   json["choices"] = Json::array({std::move(choice)});
-  return EventOf(json);
+  return ServerSentEvent(json);
 }
 
-std::string EndEventText(const AnswerHead& aHead, const std::string& aReason,
+std::string EndEventText(const ResponseHead& aHead, const std::string& aReason,
                          int aPromptTokens, int aTokens) {
   Json json = HeadJson(aHead, true);
   Json choice{{"index", 0}, {"finish_reason", aReason}};
@@ -64,18 +64,19 @@
   }
   json["choices"] = Json::array({std::move(choice)});
   json["usage"] = UsageJson(aPromptTokens, aTokens);
-  return EventOf(json) + "data: [DONE]\n\n";
+  return ServerSentEvent(json) + "data: [DONE]\n\n";
 }
 
 std::string ErrorEventText(const Error& aError, int aTokens) {
   Json json = Json::parse(ErrorJson(aError));
   json["error"]["tokens"] = aTokens;
-  return EventOf(json);
+  return ServerSentEvent(json);
 }
 
-std::string WholeAnswerText(const AnswerHead& aHead, const std::string& aText,
-                            const std::string& aReason, int aPromptTokens,
-                            int aTokens) {
+std::string FullResponseText(const ResponseHead& aHead,
+                             const std::string& aText,
+                             const std::string& aReason, int aPromptTokens,
+                             int aTokens) {
   Json json = HeadJson(aHead, false);
   Json choice{{"index", 0}, {"finish_reason", aReason}};
   if (aHead.isChat) {
--- a/Zincstep/Entry/ResponseWriter.h
+++ b/Zincstep/Entry/ResponseWriter.h
@@ -6,27 +6,30 @@
 
 namespace zincstep {
 
-/// Facts that every part of one answer repeats.
-struct AnswerHead {
+/// Fields that every event of a streamed response repeats.
+struct ResponseHead {
   std::string id;
   std::string model;
+  /// Wall-clock time in seconds.
   std::int64_t created = 0;
   bool isChat = false;
 };
 
-/// A server-sent event that carries a part of a streamed answer.
-std::string TokenEventText(const AnswerHead& aHead, const std::string& aText,
+/// Returns the server-sent event for a part of a streamed response.
+std::string TokenEventText(const ResponseHead& aHead, const std::string& aText,
                            bool aIsFirst);
-/// The events that end a streamed answer.
-std::string EndEventText(const AnswerHead& aHead, const std::string& aReason,
+/// Returns the events that end a streamed response.
+std::string EndEventText(const ResponseHead& aHead, const std::string& aReason,
                          int aPromptTokens, int aTokens);
-/// The event that breaks a streamed answer off, with how far it got.
+/// Returns the event that ends a streamed response with an error, with the
+/// number of tokens sent before.
 std::string ErrorEventText(const Error& aError, int aTokens);
-/// A whole answer.
-std::string WholeAnswerText(const AnswerHead& aHead, const std::string& aText,
-                            const std::string& aReason, int aPromptTokens,
-                            int aTokens);
-/// The list of models that an organisation may use.
+/// Returns the body of a response that is not streamed.
+std::string FullResponseText(const ResponseHead& aHead,
+                             const std::string& aText,
+                             const std::string& aReason, int aPromptTokens,
+                             int aTokens);
+/// Returns the list of models that an organisation may use, as JSON.
 std::string ModelListText(const Snapshot& aSnapshot,
                           const Organisation& aOrganisation);
 
--- a/Zincstep/Entry/RouteLog.h
+++ b/Zincstep/Entry/RouteLog.h
@@ -6,12 +6,13 @@
 
 namespace zincstep {
 
-/// The ways that the last requests took, for operators who ask why.
+/// Routes of the latest requests, so that operators can find out why a request
+/// took its route.
 class RouteLog {
  public:
   explicit RouteLog(std::size_t aCapacity) : capacity(aCapacity) {}
 
-  /// Keeps the way of a request that has ended.
+  /// Adds the route of a request that has ended; evicts the oldest if full.
   void Add(const std::string& aId, nlohmann::json aRoute) {
     this->routes.emplace_back(aId, std::move(aRoute));
     if (this->routes.size() > this->capacity) {
@@ -19,7 +20,7 @@
     }
   }
 
-  /// The way of a request, or null where it is not kept.
+  /// Returns the route of a request, or null if it is not in the log.
   const nlohmann::json* Find(const std::string& aId) const {
     for (const auto& [id, route] : this->routes) {
       if (id == aId) {
--- a/Zincstep/Entry/Router.cpp
+++ b/Zincstep/Entry/Router.cpp
@@ -6,15 +6,15 @@
 
 constexpr Micros kBusyTick = 5ms;
 constexpr Micros kIdleTick = 50ms;
-constexpr Micros kHandOverTime = 3s;
+constexpr Micros kHandOverTimeout = 3s;
 
 }  // namespace
 
 Router::Router(EntryContext& aContext, Channel<RouterEvent>& aEvents,
-               WakeEvent& aDoorbell, RouterWorkers aWorkers)
+               WakeEvent& aWakeEvent, RouterWorkers aWorkers)
     : context(aContext),
       events(aEvents),
-      doorbell(aDoorbell),
+      wakeEvent(aWakeEvent),
       workers(aWorkers),
       pool(aContext.clock),
       claims(aContext),
@@ -25,18 +25,18 @@
       status(aContext, this->pool, this->models, this->services, this->claims,
              this->peers, aWorkers.watcher) {}
 
-std::size_t Router::Open() const {
-  return this->models.Open() + this->services.Open() +
+std::size_t Router::OpenRequests() const {
+  return this->models.OpenRequests() + this->services.OpenRequests() +
          this->claims.OpenRounds();
 }
 
 void Router::Run() {
   Instant nextTick = this->context.clock.Now();
   while (this->phase != Phase::Done) {
-    const Micros tick = this->Open() > 0 ? kBusyTick : kIdleTick;
+    const Micros tick = this->OpenRequests() > 0 ? kBusyTick : kIdleTick;
     const Micros left = nextTick - this->context.clock.Now();
     if (left > 0us) {
-      this->doorbell.Wait(std::min(left, tick));
+      this->wakeEvent.Wait(std::min(left, tick));
     }
     while (const auto event = this->events.Pop()) {
       this->Handle(*event);
@@ -52,11 +52,12 @@
 void Router::Handle(RouterEvent& aEvent) {
   if (auto* request = std::get_if<CallerRequestEvent>(&aEvent)) {
     this->OnCallerRequest(request->request);
-  } else if (auto* token = std::get_if<TokenCameEvent>(&aEvent)) {
+  } else if (auto* token = std::get_if<TokenReceivedEvent>(&aEvent)) {
     this->models.OnToken(token->token);
-  } else if (auto* gone = std::get_if<CallerDisconnectedEvent>(&aEvent)) {
-    this->models.OnCallerDisconnected(gone->exchange);
-    this->services.OnCallerDisconnected(gone->exchange);
+  } else if (auto* disconnected =
+                 std::get_if<CallerDisconnectedEvent>(&aEvent)) {
+    this->models.OnCallerDisconnected(disconnected->exchange);
+    this->services.OnCallerDisconnected(disconnected->exchange);
   } else if (auto* failed = std::get_if<AttemptFailedEvent>(&aEvent)) {
     this->models.OnAttemptFailed(failed->request, failed->attempt,
                                  failed->stage, failed->failure);
@@ -96,7 +97,7 @@
     this->context.Refuse(
         aRequest.exchange,
         {ErrorKind::NotReady,
-         "no configuration has been heard from the platform or a peer",
+         "no configuration has been received from the platform or a peer",
          {}});
     return;
   }
@@ -110,7 +111,7 @@
   } else if (isCompletion || path == "/v1/models") {
     this->context.Refuse(aRequest.exchange,
                          {ErrorKind::MethodNotAllowed,
-                          aRequest.method + " is not for this path",
+                          aRequest.method + " is not allowed for this path",
                           {}});
   } else {
     this->services.OnRequest(aRequest);
@@ -118,20 +119,20 @@
 }
 
 void Router::OnSnapshot(const SnapshotPtr& aSnapshot) {
-  const std::uint64_t have =
+  const std::uint64_t activeRevision =
       this->context.snapshot ? this->context.snapshot->revision : 0;
-  if (aSnapshot->revision <= have) {
+  if (aSnapshot->revision <= activeRevision) {
     return;
   }
   this->context.snapshot = aSnapshot;
   this->pool.SetSnapshot(*aSnapshot);
-  for (const std::string& upstream : this->context.roster.Leaving()) {
+  for (const std::string& upstream : this->context.leavingUpstreams.Leaving()) {
     this->pool.SetLeaving(upstream);
   }
   this->services.SetSnapshot(*aSnapshot);
   LogInfo("configuration_in_force", {{"revision", aSnapshot->revision}});
-  // Peers are told at once: the next regular gossip would be up to a
-  // second away.
+  // Gossip at once: the next regular gossip is up to one interval, by default
+  // a second, away.
   this->peers.Gossip();
 }
 
@@ -140,35 +141,36 @@
     return;
   }
   this->phase = Phase::Draining;
-  this->stopAt = this->context.clock.Now();
+  this->stopRequestedAt = this->context.clock.Now();
   this->context.stopping = true;
   this->peers.Gossip();
-  LogInfo("stopping", {{"open", this->Open()}});
+  LogInfo("stopping", {{"open", this->OpenRequests()}});
 }
 
 void Router::AdvanceStop(Instant aNow) {
-  const Micros since = aNow - this->stopAt;
-  const bool late = since >= this->context.settings.drainLimit;
+  const Micros elapsed = aNow - this->stopRequestedAt;
+  const bool isPastLimit = elapsed >= this->context.settings.drainLimit;
   if (this->phase == Phase::Draining &&
-      since >= this->context.settings.drainGrace) {
+      elapsed >= this->context.settings.drainGrace) {
     this->phase = Phase::Refusing;
   }
-  if (this->phase == Phase::Refusing && (this->Open() == 0 || late)) {
+  if (this->phase == Phase::Refusing &&
+      (this->OpenRequests() == 0 || isPastLimit)) {
     this->phase = Phase::HandingOver;
-    this->handOverAt = aNow;
+    this->handOverStartedAt = aNow;
     if (this->claims.TransferClaimsTo(this->peers.Successor())) {
       this->phase = Phase::Done;
     }
   }
   if (this->phase == Phase::HandingOver) {
-    const bool handed = !this->claims.HandedTo().empty();
-    if (handed || aNow - this->handOverAt >= kHandOverTime) {
+    const bool isHandedOver = !this->claims.HandedTo().empty();
+    if (isHandedOver || aNow - this->handOverStartedAt >= kHandOverTimeout) {
       this->phase = Phase::Done;
     }
   }
   if (this->phase == Phase::Done) {
-    LogInfo("stopped",
-            {{"handed_to", this->claims.HandedTo()}, {"left", this->Open()}});
+    LogInfo("stopped", {{"handed_to", this->claims.HandedTo()},
+                        {"left", this->OpenRequests()}});
   }
 }
 
@@ -178,8 +180,8 @@
   this->models.OnTick(now);
   this->services.OnTick(now);
   this->peers.OnTick(now);
-  for (PlanOrder& order : this->pool.DuePlans()) {
-    this->workers.plans.Order(std::move(order));
+  for (PlanRequest& request : this->pool.DuePlans()) {
+    this->workers.plans.Submit(std::move(request));
   }
   if (this->phase != Phase::Serving) {
     this->AdvanceStop(now);
--- a/Zincstep/Entry/Router.h
+++ b/Zincstep/Entry/Router.h
@@ -12,28 +12,28 @@
 
 namespace zincstep {
 
-/// The threads that the router gives orders to.
+/// The worker threads that the router uses.
 struct RouterWorkers {
   PlanWorker& plans;
   ConfigWatcher& watcher;
   DomainController& controller;
 };
 
-/// The thread that owns all decisions of a daemon.
+/// The event loop that makes all decisions of a daemon.
 ///
-/// The others only carry: they put events into one bounded ring, and what
-/// is decided goes out through the servers and clients, each on a thread
-/// of its own. No state is shared, so that none needs a lock.
+/// The other threads only do I/O or compute: they push events into one bounded
+/// ring, and the router acts through the servers and clients, which have their
+/// own threads. No state is shared, so none needs a lock.
 class Router {
  public:
   Router(EntryContext& aContext, Channel<RouterEvent>& aEvents,
-         WakeEvent& aDoorbell, RouterWorkers aWorkers);
+         WakeEvent& aWakeEvent, RouterWorkers aWorkers);
 
-  /// Runs until the daemon has stopped in order.
+  /// Runs until the daemon has stopped.
   void Run();
 
  private:
-  /// Life of a daemon after the order to stop.
+  /// Phases of a graceful stop.
   enum class Phase { Serving, Draining, Refusing, HandingOver, Done };
 
   void Handle(RouterEvent& aEvent);
@@ -42,11 +42,11 @@
   void OnStop();
   void OnTick();
   void AdvanceStop(Instant aNow);
-  std::size_t Open() const;
+  std::size_t OpenRequests() const;
 
   EntryContext& context;
   Channel<RouterEvent>& events;
-  WakeEvent& doorbell;
+  WakeEvent& wakeEvent;
   RouterWorkers workers;
   ModelPool pool;
   ClaimCoordinator claims;
@@ -55,8 +55,8 @@
   PeerHandler peers;
   StatusHandler status;
   Phase phase = Phase::Serving;
-  Instant stopAt;
-  Instant handOverAt;
+  Instant stopRequestedAt;
+  Instant handOverStartedAt;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Entry/RouterEvent.h
+++ b/Zincstep/Entry/RouterEvent.h
@@ -18,12 +18,12 @@
 struct AdminRequestEvent {
   HttpRequest request;
 };
-/// The caller of an exchange has gone.
+/// The caller of an exchange has disconnected.
 struct CallerDisconnectedEvent {
   ExchangeId exchange = 0;
 };
 /// An engine sent a token.
-struct TokenCameEvent {
+struct TokenReceivedEvent {
   TokenEvent token;
 };
 /// An attempt failed.
@@ -33,13 +33,13 @@
   int stage = -1;
   HopFailure failure = HopFailure::Dead;
 };
-/// The stages of a chain were asked.
+/// The stages of a chain were probed.
 struct ProgressEvent {
   std::uint64_t request = 0;
   int attempt = 0;
   std::vector<StageProgress> progress;
 };
-/// An upstream was asked for its load.
+/// A load query to an upstream has ended.
 struct LoadEvent {
   std::string upstream;
   Result<EngineLoad> load;
@@ -49,7 +49,7 @@
   CallId call = 0;
   HttpCallResult result;
 };
-/// A newer configuration is ready.
+/// A newer configuration was accepted.
 struct SnapshotEvent {
   SnapshotPtr snapshot;
 };
@@ -57,24 +57,24 @@
 struct PlanEvent {
   PlanResult result;
 };
-/// The keeper has news.
+/// The domain controller sent a report.
 struct DomainControllerEvent {
   DomainControllerReport report;
 };
-/// A peer has sent a message.
+/// A peer sent a message.
 struct PeerEvent {
   PeerMessage message;
 };
-/// The daemon is to stop in order.
+/// The daemon must stop gracefully.
 struct StopEvent {};
-/// The daemon is to end at once.
+/// The daemon must stop at once.
 struct AbandonEvent {};
 
-/// Everything that the other threads tell the router's.
+/// Any event that another thread sends to the router.
 using RouterEvent =
     std::variant<CallerRequestEvent, AdminRequestEvent, CallerDisconnectedEvent,
-                 TokenCameEvent, AttemptFailedEvent, ProgressEvent, LoadEvent,
-                 CallEndEvent, SnapshotEvent, PlanEvent, DomainControllerEvent,
-                 PeerEvent, StopEvent, AbandonEvent>;
+                 TokenReceivedEvent, AttemptFailedEvent, ProgressEvent,
+                 LoadEvent, CallEndEvent, SnapshotEvent, PlanEvent,
+                 DomainControllerEvent, PeerEvent, StopEvent, AbandonEvent>;
 
 }  // namespace zincstep
--- a/Zincstep/Entry/ServiceHandler.cpp
+++ b/Zincstep/Entry/ServiceHandler.cpp
@@ -7,24 +7,24 @@
 
 namespace {
 
-constexpr int kMostTries = 4;
+constexpr int kMaxAttempts = 4;
 constexpr std::uint64_t kFirstRequestSpread = std::uint64_t{1} << 52;
-/// Request headers that a service is given; hop-by-hop ones and the key
-/// of the organisation are not among them.
-constexpr std::array<std::string_view, 6> kPassedOn{
+/// Request headers that are forwarded to a service. Hop-by-hop headers and the
+/// organisation's bearer key are not.
+constexpr std::array<std::string_view, 6> kRequestHeaders{
     "Content-Type", "Accept",        "Accept-Language",
     "User-Agent",   "If-None-Match", "Idempotency-Key"};
-/// Answer headers that a caller is given.
-constexpr std::array<std::string_view, 7> kPassedBack{
+/// Response headers that are forwarded to a caller.
+constexpr std::array<std::string_view, 7> kResponseHeaders{
     "Content-Type", "ETag",          "Cache-Control",   "Location",
     "Retry-After",  "Last-Modified", "Content-Language"};
 
 template <std::size_t N>
-bool IsAmong(const std::array<std::string_view, N>& aNames,
-             std::string_view aName) {
-  return std::any_of(aNames.begin(), aNames.end(), [&](std::string_view aOne) {
-    return SameHeaderName(aOne, aName);
-  });
+bool ContainsHeader(const std::array<std::string_view, N>& aNames,
+                    std::string_view aName) {
+  return std::any_of(
+      aNames.begin(), aNames.end(),
+      [&](std::string_view aHeader) { return SameHeaderName(aHeader, aName); });
 }
 
 bool IsUnavailable(int aStatus) {
@@ -33,26 +33,26 @@
 
 }  // namespace
 
-/// One call of a service, from its coming to its end.
+/// One call of a service, from arrival to end.
 struct ServiceHandler::Request {
   std::uint64_t id = 0;
   HttpRequest http;
-  CallerInfo facts;
+  CallerInfo caller;
   SnapshotPtr snapshot;
   std::string service;
   BalancerPtr balancer;
   bool repeatable = false;
   bool isKeyed = false;
-  bool callerGone = false;
-  /// Some try has left this machine, so that "not run" can't be said.
+  bool isCallerDisconnected = false;
+  /// An attempt was sent, so errors must not claim that it was not run.
   bool mayHaveRun = false;
   std::uint64_t digest = 0;
-  int tries = 0;
+  int attempts = 0;
   int replica = -1;
   std::vector<int> failed;
   CallId call = 0;
-  Instant triedAt;
-  Instant came;
+  Instant attemptStartedAt;
+  Instant receivedAt;
   Span span;
 };
 
@@ -74,19 +74,19 @@
   std::map<std::string, BalancerPtr> next;
   for (const PlainService& service : aSnapshot.configuration.services) {
     const auto old = this->balancers.find(service.name);
-    const bool kept =
+    const bool isUnchanged =
         old != this->balancers.end() &&
         std::equal(service.replicas.begin(), service.replicas.end(),
                    old->second->Replicas().begin(),
                    old->second->Replicas().end(), same);
     BalancerPtr& balancer = next[service.name];
-    balancer = kept
+    balancer = isUnchanged
                    ? old->second
                    : std::make_shared<ServiceBalancer>(
                          service.replicas, this->context.settings.failureDomain,
                          ServiceBalancerSettings{});
     for (std::size_t i = 0; i < service.replicas.size(); ++i) {
-      if (this->context.roster.IsLeaving(service.replicas[i].name)) {
+      if (this->context.leavingUpstreams.IsLeaving(service.replicas[i].name)) {
         balancer->SetLeaving(static_cast<int>(i));
       }
     }
@@ -110,9 +110,9 @@
   const PlainService* best = nullptr;
   for (const PlainService& service :
        this->context.snapshot->configuration.services) {
-    const bool hostFits = service.host.empty() || service.host == name;
-    const bool pathFits = aRequest.path.starts_with(service.pathPrefix);
-    if (hostFits && pathFits &&
+    const bool hostMatches = service.host.empty() || service.host == name;
+    const bool pathMatches = aRequest.path.starts_with(service.pathPrefix);
+    if (hostMatches && pathMatches &&
         (best == nullptr ||
          best->pathPrefix.size() < service.pathPrefix.size())) {
       best = &service;
@@ -123,27 +123,27 @@
 
 void ServiceHandler::OnRequest(const HttpRequest& aRequest) {
   const Instant now = this->context.clock.Now();
-  Result<CallerInfo> facts = ReadCallerFacts(aRequest, *this->context.snapshot,
-                                             LimitsOf(this->context.settings),
-                                             now, this->context.random);
-  if (!facts) {
-    this->context.Refuse(aRequest.exchange, facts.error());
+  Result<CallerInfo> caller = ParseCallerInfo(aRequest, *this->context.snapshot,
+                                              LimitsOf(this->context.settings),
+                                              now, this->context.random);
+  if (!caller) {
+    this->context.Refuse(aRequest.exchange, caller.error());
     return;
   }
   const PlainService* service = this->Match(aRequest);
-  const auto& allowed = facts->organisation->services;
+  const auto& allowed = caller->organisation->services;
   if (service == nullptr || std::find(allowed.begin(), allowed.end(),
                                       service->name) == allowed.end()) {
     this->context.Refuse(
         aRequest.exchange,
-        {ErrorKind::UnknownService, "there is nothing here", {}});
+        {ErrorKind::UnknownService, "no service at this path", {}});
     return;
   }
   auto owned = std::make_unique<Request>();
   Request& request = *owned;
   request.id = ++this->lastRequest;
   request.http = aRequest;
-  request.facts = std::move(*facts);
+  request.caller = std::move(*caller);
   request.snapshot = this->context.snapshot;
   request.service = service->name;
   request.balancer = this->balancers.at(service->name);
@@ -151,27 +151,27 @@
       IsRepeatable(*service, aRequest.method, aRequest.path) &&
       FindHeader(aRequest.headers, "zincstep-repeatable") != "false";
   request.digest = RequestDigest(aRequest);
-  request.came = now;
-  request.span = this->context.tracer.Begin("request", request.facts.trace);
+  request.receivedAt = now;
+  request.span = this->context.tracer.Begin("request", request.caller.trace);
   const std::uint64_t id = request.id;
   this->requests[id] = std::move(owned);
   this->byExchange[aRequest.exchange] = id;
   this->context.metrics.Count("zincstep_requests_total", {{"kind", "service"}});
   this->budget.OnRequest();
   request.isKeyed =
-      !request.repeatable && !request.facts.idempotencyKey.empty();
+      !request.repeatable && !request.caller.idempotencyKey.empty();
   if (request.isKeyed) {
     this->claims.Begin(id,
-                       ClaimKey(request.facts.organisation->name,
-                                request.facts.idempotencyKey),
+                       ClaimKey(request.caller.organisation->name,
+                                request.caller.idempotencyKey),
                        request.digest, *this);
     return;
   }
-  this->Try(request);
+  this->StartAttempt(request);
 }
 
 void ServiceHandler::OnClaim(std::uint64_t aRequest, ClaimVerdict aVerdict,
-                             const Claim& aHolder) {
+                             const Claim& aOwner) {
   const auto found = this->requests.find(aRequest);
   if (found == this->requests.end()) {
     this->claims.Release(aRequest);
@@ -179,10 +179,10 @@
   }
   Request& request = *found->second;
   if (aVerdict == ClaimVerdict::Won) {
-    this->Try(request);
+    this->StartAttempt(request);
     return;
   }
-  RespondToHeldClaim(this->context, request.http.exchange, aVerdict, aHolder,
+  RespondToHeldClaim(this->context, request.http.exchange, aVerdict, aOwner,
                      request.digest);
   request.span.attributes["outcome"] = "held";
   this->context.tracer.End(request.span);
@@ -191,7 +191,7 @@
 }
 
 HttpCall ServiceHandler::CallFor(const Request& aRequest, int aReplica,
-                                 Micros aLeft) const {
+                                 Micros aRemaining) const {
   const ServiceReplica& replica =
       aRequest.balancer->Replicas()[static_cast<std::size_t>(aReplica)];
   HttpCall call;
@@ -202,48 +202,49 @@
   }
   call.body = aRequest.http.body;
   call.connectTimeout = 300ms;
-  call.timeout = aLeft;
+  call.timeout = aRemaining;
   call.freshConnection = !aRequest.repeatable;
   for (const HttpHeader& header : aRequest.http.headers) {
-    if (IsAmong(kPassedOn, header.name)) {
+    if (ContainsHeader(kRequestHeaders, header.name)) {
       call.headers.push_back(header);
     }
   }
   call.headers.push_back(
-      {"zincstep-organisation", aRequest.facts.organisation->name});
+      {"zincstep-organisation", aRequest.caller.organisation->name});
   call.headers.push_back(
-      {"zincstep-deadline-ms", std::to_string(aLeft.count() / 1000)});
+      {"zincstep-deadline-ms", std::to_string(aRemaining.count() / 1000)});
   call.headers.push_back({"traceparent", aRequest.span.context.Header()});
   return call;
 }
 
-void ServiceHandler::Try(Request& aRequest) {
+void ServiceHandler::StartAttempt(Request& aRequest) {
   const Instant now = this->context.clock.Now();
-  const Micros left = aRequest.facts.deadline - now;
-  if (left <= 0us) {
-    this->GiveUp(aRequest,
-                 {ErrorKind::DeadlineBeforeRun, "the deadline has passed", {}});
+  const Micros remaining = aRequest.caller.deadline - now;
+  if (remaining <= 0us) {
+    this->FailRequest(
+        aRequest,
+        {ErrorKind::DeadlineBeforeRun, "the deadline has passed", {}});
     return;
   }
   std::optional<int> replica =
       aRequest.balancer->Choose(now, this->context.random, aRequest.failed);
   if (!replica) {
-    // All have been tried: a further try goes to any of them.
+    // All replicas have failed once; the next attempt may use any of them.
     replica = aRequest.balancer->Choose(now, this->context.random, {});
   }
   if (!replica) {
-    this->GiveUp(aRequest,
-                 {ErrorKind::UpstreamUnreachable,
-                  "no replica of " + aRequest.service + " can be reached",
-                  {}});
+    this->FailRequest(aRequest,
+                      {ErrorKind::UpstreamUnreachable,
+                       "no replica of " + aRequest.service + " is reachable",
+                       {}});
     return;
   }
-  aRequest.tries += 1;
+  aRequest.attempts += 1;
   aRequest.replica = *replica;
-  aRequest.triedAt = now;
+  aRequest.attemptStartedAt = now;
   aRequest.balancer->OnStart(*replica);
   aRequest.call = this->context.calls.Start(
-      this->CallFor(aRequest, *replica, left), this->context.callListener);
+      this->CallFor(aRequest, *replica, remaining), this->context.callListener);
   this->byCall[aRequest.call] = aRequest.id;
   this->context.metrics.Count("zincstep_service_tries_total");
 }
@@ -261,69 +262,71 @@
   }
   Request& request = *found->second;
   const Instant now = this->context.clock.Now();
-  const bool answered = aResult.end == CallEnd::Answered;
+  const bool hasResponded = aResult.end == CallEnd::Answered;
   request.mayHaveRun = request.mayHaveRun || aResult.end != CallEnd::NotSent;
-  const bool failed = !answered || IsUnavailable(aResult.status);
-  request.balancer->OnEnd(request.replica, now - request.triedAt,
+  const bool failed = !hasResponded || IsUnavailable(aResult.status);
+  request.balancer->OnEnd(request.replica, now - request.attemptStartedAt,
                           failed && aResult.end != CallEnd::Cancelled, now);
   this->context.tracer.Write(
-      "service_hop", request.span.context, now - request.triedAt,
+      "service_hop", request.span.context, now - request.attemptStartedAt,
       {{"replica",
         request.balancer->Replicas()[static_cast<std::size_t>(request.replica)]
             .name},
-       {"try", request.tries},
+       {"try", request.attempts},
        {"status", aResult.status}});
-  if (answered) {
-    this->OnAnswered(request, aResult);
+  if (hasResponded) {
+    this->OnResponse(request, aResult);
   } else {
-    this->OnNoAnswer(request, aResult);
+    this->OnCallFailed(request, aResult);
   }
   return true;
 }
 
-void ServiceHandler::OnAnswered(Request& aRequest,
+void ServiceHandler::OnResponse(Request& aRequest,
                                 const HttpCallResult& aResult) {
   if (aRequest.repeatable && IsUnavailable(aResult.status) &&
       this->Retry(aRequest)) {
     return;
   }
-  HttpResponse answer;
-  answer.status = aResult.status;
-  answer.body = aResult.body;
+  HttpResponse response;
+  response.status = aResult.status;
+  response.body = aResult.body;
   for (const HttpHeader& header : aResult.headers) {
-    if (IsAmong(kPassedBack, header.name)) {
-      answer.headers.push_back(header);
+    if (ContainsHeader(kResponseHeaders, header.name)) {
+      response.headers.push_back(header);
     }
   }
-  this->End(aRequest, answer, true, "answered");
+  this->End(aRequest, response, true, "answered");
 }
 
-void ServiceHandler::OnNoAnswer(Request& aRequest,
-                                const HttpCallResult& aResult) {
-  const bool neverSent = aResult.end == CallEnd::NotSent;
-  if ((neverSent || aRequest.repeatable) && this->Retry(aRequest)) {
+void ServiceHandler::OnCallFailed(Request& aRequest,
+                                  const HttpCallResult& aResult) {
+  const bool wasNotSent = aResult.end == CallEnd::NotSent;
+  if ((wasNotSent || aRequest.repeatable) && this->Retry(aRequest)) {
     return;
   }
-  const std::string what =
-      aRequest.service + " gave no whole answer: " + aResult.fault;
-  // A call is given what is left of the deadline, so that its end by time
-  // is the deadline's.
+  const std::string message =
+      aRequest.service + " sent no complete response: " + aResult.fault;
+  // The timeout of a call is the remaining time until the deadline, so a
+  // timeout means that the deadline has passed.
   const ErrorKind kind = aResult.end == CallEnd::TimedOut
                              ? ErrorKind::DeadlineDuringRun
                              : ErrorKind::UpstreamUnreachable;
-  this->GiveUp(aRequest, {kind, what, {}});
+  this->FailRequest(aRequest, {kind, message, {}});
 }
 
-/// Ends a request without an answer: as not run where that is certain.
-void ServiceHandler::GiveUp(Request& aRequest, const Error& aError) {
+/// Ends a request without a response; reports it as not run only if that is
+/// certain.
+void ServiceHandler::FailRequest(Request& aRequest, const Error& aError) {
   if (!aRequest.mayHaveRun) {
     this->Refuse(aRequest, aError);
     return;
   }
-  const bool late = aError.kind == ErrorKind::DeadlineDuringRun ||
-                    aRequest.facts.deadline <= this->context.clock.Now();
+  const bool isPastDeadline =
+      aError.kind == ErrorKind::DeadlineDuringRun ||
+      aRequest.caller.deadline <= this->context.clock.Now();
   const Error error{
-      late ? ErrorKind::DeadlineDuringRun : ErrorKind::UpstreamFailed,
+      isPastDeadline ? ErrorKind::DeadlineDuringRun : ErrorKind::UpstreamFailed,
       aError.message,
       {}};
   this->End(aRequest, ErrorResponse(error), false,
@@ -332,32 +335,32 @@
 
 bool ServiceHandler::Retry(Request& aRequest) {
   aRequest.failed.push_back(aRequest.replica);
-  if (aRequest.tries >= kMostTries || aRequest.callerGone ||
+  if (aRequest.attempts >= kMaxAttempts || aRequest.isCallerDisconnected ||
       !this->budget.TryAcquireRetry()) {
     return false;
   }
-  const Micros pause =
-      this->budget.Backoff(aRequest.tries, this->context.random);
-  this->pauses[aRequest.id] = this->context.clock.Now() + pause;
+  const Micros backoff =
+      this->budget.Backoff(aRequest.attempts, this->context.random);
+  this->retryTimes[aRequest.id] = this->context.clock.Now() + backoff;
   this->context.metrics.Count("zincstep_service_retries_total");
   return true;
 }
 
-void ServiceHandler::End(Request& aRequest, const HttpResponse& aAnswer,
-                         bool aRan, const std::string& aOutcome) {
+void ServiceHandler::End(Request& aRequest, const HttpResponse& aResponse,
+                         bool aHasRun, const std::string& aOutcome) {
   if (aRequest.isKeyed) {
-    CachedResponse kept;
-    kept.status = aAnswer.status;
-    kept.contentType = FindHeader(aAnswer.headers, "Content-Type");
-    kept.body = aAnswer.body;
-    this->claims.Finish(aRequest.id, aRan ? &kept : nullptr);
+    CachedResponse cached;
+    cached.status = aResponse.status;
+    cached.contentType = FindHeader(aResponse.headers, "Content-Type");
+    cached.body = aResponse.body;
+    this->claims.Finish(aRequest.id, aHasRun ? &cached : nullptr);
   }
   this->context.metrics.Observe(
       "zincstep_service_seconds",
-      ToSeconds(this->context.clock.Now() - aRequest.came));
-  this->context.callers.Respond(aRequest.http.exchange, aAnswer);
+      ToSeconds(this->context.clock.Now() - aRequest.receivedAt));
+  this->context.callers.Respond(aRequest.http.exchange, aResponse);
   aRequest.span.attributes["outcome"] = aOutcome;
-  aRequest.span.attributes["organisation"] = aRequest.facts.organisation->name;
+  aRequest.span.attributes["organisation"] = aRequest.caller.organisation->name;
   aRequest.span.attributes["service"] = aRequest.service;
   this->context.tracer.End(aRequest.span);
   this->byExchange.erase(aRequest.http.exchange);
@@ -381,9 +384,9 @@
     return;
   }
   Request& request = *this->requests.at(found->second);
-  request.callerGone = true;
-  // A call that must not repeat runs to its end, so that its outcome is
-  // known when the caller asks again with the same key.
+  request.isCallerDisconnected = true;
+  // A call that is not repeatable runs to its end, so that its outcome is known
+  // when the caller retries with the same key.
   if (request.repeatable && request.call != 0) {
     this->context.calls.Cancel(request.call);
   }
@@ -391,16 +394,16 @@
 
 void ServiceHandler::OnTick(Instant aNow) {
   std::vector<std::uint64_t> due;
-  for (const auto& [id, at] : this->pauses) {
+  for (const auto& [id, at] : this->retryTimes) {
     if (at <= aNow) {
       due.push_back(id);
     }
   }
   for (const std::uint64_t id : due) {
-    this->pauses.erase(id);
+    this->retryTimes.erase(id);
     const auto found = this->requests.find(id);
     if (found != this->requests.end()) {
-      this->Try(*found->second);
+      this->StartAttempt(*found->second);
     }
   }
 }
--- a/Zincstep/Entry/ServiceHandler.h
+++ b/Zincstep/Entry/ServiceHandler.h
@@ -12,26 +12,28 @@
 
 namespace zincstep {
 
-/// Passes calls on to plain services, at most once where that is declared.
+/// Forwards calls to plain services, at most once for calls that are not
+/// repeatable.
 class ServiceHandler : private ClaimListener {
  public:
   ServiceHandler(EntryContext& aContext, ClaimCoordinator& aClaims);
   ~ServiceHandler() override;
 
-  /// Takes a new configuration.
+  /// Applies a new configuration; keeps the balancers of unchanged services.
   void SetSnapshot(const Snapshot& aSnapshot);
-  /// A caller calls something that is not under `/v1/`.
+  /// Handles a request outside `/v1/`.
   void OnRequest(const HttpRequest& aRequest);
-  /// The caller of an exchange has gone.
+  /// Cancels the call of a caller that has disconnected, if it is repeatable.
   void OnCallerDisconnected(ExchangeId aExchange);
-  /// A call has ended; false where it was not one of this desk's.
+  /// Handles the end of a call; returns false if this handler did not start it.
   bool OnCallEnd(CallId aCall, const HttpCallResult& aResult);
-  /// An upstream leaves.
+  /// Marks a replica as leaving; it gets no new calls.
   void SetLeaving(const std::string& aReplica);
-  /// Time has passed.
+  /// Starts the retries that are due; must be called periodically.
   void OnTick(Instant aNow);
 
-  std::size_t Open() const { return this->requests.size(); }
+  /// Number of requests that have not ended.
+  std::size_t OpenRequests() const { return this->requests.size(); }
 
  private:
   struct Request;
@@ -39,15 +41,16 @@
 
   const PlainService* Match(const HttpRequest& aRequest) const;
   void OnClaim(std::uint64_t aRequest, ClaimVerdict aVerdict,
-               const Claim& aHolder) override;
-  void Try(Request& aRequest);
-  HttpCall CallFor(const Request& aRequest, int aReplica, Micros aLeft) const;
-  void OnAnswered(Request& aRequest, const HttpCallResult& aResult);
-  void OnNoAnswer(Request& aRequest, const HttpCallResult& aResult);
+               const Claim& aOwner) override;
+  void StartAttempt(Request& aRequest);
+  HttpCall CallFor(const Request& aRequest, int aReplica,
+                   Micros aRemaining) const;
+  void OnResponse(Request& aRequest, const HttpCallResult& aResult);
+  void OnCallFailed(Request& aRequest, const HttpCallResult& aResult);
   bool Retry(Request& aRequest);
-  void End(Request& aRequest, const HttpResponse& aAnswer, bool aRan,
+  void End(Request& aRequest, const HttpResponse& aResponse, bool aHasRun,
            const std::string& aOutcome);
-  void GiveUp(Request& aRequest, const Error& aError);
+  void FailRequest(Request& aRequest, const Error& aError);
   void Refuse(Request& aRequest, const Error& aError);
 
   EntryContext& context;
@@ -58,7 +61,8 @@
   std::unordered_map<std::uint64_t, std::unique_ptr<Request>> requests;
   std::unordered_map<ExchangeId, std::uint64_t> byExchange;
   std::unordered_map<CallId, std::uint64_t> byCall;
-  std::map<std::uint64_t, Instant> pauses;
+  /// Requests in backoff, with the time of their next attempt.
+  std::map<std::uint64_t, Instant> retryTimes;
 };
 
 }  // namespace zincstep
--- a/Zincstep/Entry/Snapshot.cpp
+++ b/Zincstep/Entry/Snapshot.cpp
@@ -18,14 +18,15 @@
   snapshot->root = WriteRoot(aStored.root);
   snapshot->pieces = aStored.pieces;
   snapshot->region = snapshot->configuration.RegionOf(aOwnDomain);
-  for (const Organisation& one : snapshot->configuration.organisations) {
-    for (const std::string& key : one.keys) {
-      snapshot->byKey[key] = &one;
+  for (const Organisation& organisation :
+       snapshot->configuration.organisations) {
+    for (const std::string& key : organisation.keys) {
+      snapshot->byKey[key] = &organisation;
     }
   }
-  for (const FailureDomain& one : snapshot->configuration.failureDomains) {
-    if (one.region == snapshot->region) {
-      snapshot->regionDomains.insert(one.name);
+  for (const FailureDomain& domain : snapshot->configuration.failureDomains) {
+    if (domain.region == snapshot->region) {
+      snapshot->regionDomains.insert(domain.name);
     }
   }
   return SnapshotPtr(std::move(snapshot));
--- a/Zincstep/Entry/Snapshot.h
+++ b/Zincstep/Entry/Snapshot.h
@@ -10,25 +10,25 @@
 
 namespace zincstep {
 
-/// One accepted configuration, ready for use; it never changes.
+/// One accepted, immutable configuration with its indexes.
 struct Snapshot {
   std::uint64_t revision = 0;
   Configuration configuration;
-  /// Organisation of each hashed key.
+  /// Organisations by the hash of their bearer keys.
   std::unordered_map<std::string, const Organisation*> byKey;
-  /// Failure domains of the daemon's own region.
+  /// Failure domains of this daemon's region.
   std::set<std::string> regionDomains;
   std::string region;
-  /// The root's text and the pieces, to be passed on to peers.
+  /// The root's text and the pieces, for forwarding to peers.
   std::string root;
   ConfigurationPieces pieces;
 };
 
 using SnapshotPtr = std::shared_ptr<const Snapshot>;
 
-/// Makes the snapshot of a stored configuration.
+/// Creates the snapshot of a stored configuration.
 ///
-/// Fails with `ConfigInvalid` where the pieces do not make a valid file.
+/// Fails with `ConfigInvalid` if the pieces do not form a valid file.
 Result<SnapshotPtr> MakeSnapshot(const StoredConfiguration& aStored,
                                  const std::string& aOwnDomain);
 
