--- a/Zincstep/Entry/StatusHandler.cpp
+++ b/Zincstep/Entry/StatusHandler.cpp
@@ -24,9 +24,8 @@
   return usage.ru_maxrss;
 }
 
-HttpResponse NotHere() {
-  return ErrorResponse(
-      {ErrorKind::UnknownService, "there is nothing here", {}});
+HttpResponse NotFound() {
+  return ErrorResponse({ErrorKind::UnknownService, "no such path", {}});
 }
 
 }  // namespace
@@ -45,31 +44,31 @@
 
 bool StatusHandler::OnRequest(const HttpRequest& aRequest) {
   const std::string& path = aRequest.path;
-  HttpResponse answer = NotHere();
-  bool stops = false;
+  HttpResponse response = NotFound();
+  bool shouldStop = false;
   if (path == "/healthz") {
-    answer = JsonResponse("{\"alive\":true}");
+    response = JsonResponse("{\"alive\":true}");
   } else if (path == "/readyz") {
-    answer = this->Ready();
+    response = this->Ready();
   } else if (path == "/metrics") {
-    answer = this->MetricsAnswer();
+    response = this->MetricsResponse();
   } else if (path == "/v1/status") {
-    answer = JsonResponse(this->Status().dump());
+    response = JsonResponse(this->Status().dump());
   } else if (path == "/v1/upstreams") {
-    answer = JsonResponse(this->Upstreams().dump());
+    response = JsonResponse(this->Upstreams().dump());
   } else if (path == "/v1/organisations") {
-    answer = JsonResponse(this->Organisations().dump());
+    response = JsonResponse(this->Organisations().dump());
   } else if (path == "/v1/chains") {
-    answer =
+    response =
         JsonResponse(this->Chains(QueryValue(aRequest.query, "model")).dump());
   } else if (path == "/v1/explain") {
-    answer = this->Explain(aRequest);
+    response = this->Explain(aRequest);
   } else if (path == "/v1/drain" && aRequest.method == "POST") {
-    answer = JsonResponse("{\"stopping\":true}");
-    stops = true;
+    response = JsonResponse("{\"stopping\":true}");
+    shouldStop = true;
   }
-  this->context.admin.Respond(aRequest.exchange, std::move(answer));
-  return stops;
+  this->context.admin.Respond(aRequest.exchange, std::move(response));
+  return shouldStop;
 }
 
 HttpResponse StatusHandler::Ready() const {
@@ -78,18 +77,19 @@
   }
   if (this->context.snapshot == nullptr) {
     return ErrorResponse(
-        {ErrorKind::NotReady, "no configuration has been heard yet", {}});
+        {ErrorKind::NotReady, "no configuration has been received yet", {}});
   }
   return JsonResponse("{\"ready\":true}");
 }
 
-HttpResponse StatusHandler::MetricsAnswer() {
+HttpResponse StatusHandler::MetricsResponse() {
   Metrics& metrics = this->context.metrics;
   const PeerTraffic traffic = this->context.transport.Traffic();
   metrics.Set("zincstep_open_requests",
-              static_cast<double>(this->models.Open()), {{"kind", "model"}});
+              static_cast<double>(this->models.OpenRequests()),
+              {{"kind", "model"}});
   metrics.Set("zincstep_open_requests",
-              static_cast<double>(this->services.Open()),
+              static_cast<double>(this->services.OpenRequests()),
               {{"kind", "service"}});
   metrics.Set("zincstep_waiting_requests",
               static_cast<double>(this->models.Waiting()));
@@ -108,23 +108,23 @@
               this->context.snapshot
                   ? static_cast<double>(this->context.snapshot->revision)
                   : 0);
-  HttpResponse answer;
-  answer.headers = {{"Content-Type", "text/plain; version=0.0.4"}};
-  answer.body = metrics.Text();
-  return answer;
+  HttpResponse response;
+  response.headers = {{"Content-Type", "text/plain; version=0.0.4"}};
+  response.body = metrics.Text();
+  return response;
 }
 
 Json StatusHandler::Status() const {
   const Instant now = this->context.clock.Now();
   const DomainControllerReport& controller = this->peers.LastReport();
-  const std::int64_t answered = this->watcher.LastAnswerMicros();
+  const std::int64_t lastResponse = this->watcher.LastResponseMicros();
   Json daemons = Json::array();
-  for (const DaemonStatus& one : this->peers.Daemons()) {
-    daemons.push_back({{"vm", one.vm},
-                       {"revision", one.revision},
-                       {"heard", one.isLive},
-                       {"stopping", one.isStopping},
-                       {"heard_at", one.lastSeenAt}});
+  for (const DaemonStatus& daemon : this->peers.Daemons()) {
+    daemons.push_back({{"vm", daemon.vm},
+                       {"revision", daemon.revision},
+                       {"heard", daemon.isLive},
+                       {"stopping", daemon.isStopping},
+                       {"heard_at", daemon.lastSeenAt}});
   }
   return {
       {"vm", this->context.settings.vm},
@@ -135,10 +135,12 @@
       {"stopping", this->context.stopping},
       {"has_duty", controller.isLeader},
       {"fence", controller.fence},
-      {"platform_answers", controller.platformAnswers},
+      {"platform_answers", controller.isPlatformReachable},
       {"knowledge_age_ms",
-       answered == 0 ? -1 : (now.time_since_epoch().count() - answered) / 1000},
-      {"open", this->models.Open() + this->services.Open()},
+       lastResponse == 0
+           ? -1
+           : (now.time_since_epoch().count() - lastResponse) / 1000},
+      {"open", this->models.OpenRequests() + this->services.OpenRequests()},
       {"waiting", this->models.Waiting()},
       {"keys", this->claims.Keys()},
       {"members",
@@ -148,7 +150,7 @@
         {"newest", this->context.members.lists.empty()
                        ? 0
                        : this->context.members.lists.front().members.size()}}},
-      {"leaving", this->context.roster.Leaving()},
+      {"leaving", this->context.leavingUpstreams.Leaving()},
       {"stuck", controller.stuck},
       {"hears_all_peers", this->context.limits.AreAllPeersLive(now)},
       {"daemons", std::move(daemons)}};
@@ -164,7 +166,7 @@
                     {"layers", {view.layers.first, view.layers.last}},
                     {"version", view.version},
                     {"state", NameIn(kReplicaStateNames, view.state)},
-                    {"own", view.own},
+                    {"own", view.localSequences},
                     {"sequences", view.sequences},
                     {"step_ratio", view.stepRatio}});
   }
@@ -174,14 +176,14 @@
 Json StatusHandler::Organisations() const {
   Json list = Json::array();
   if (this->context.snapshot) {
-    for (const Organisation& one :
+    for (const Organisation& organisation :
          this->context.snapshot->configuration.organisations) {
-      const auto served = this->models.Served().find(one.name);
+      const auto served = this->models.Served().find(organisation.name);
       list.push_back(
-          {{"name", one.name},
-           {"weight", one.weight},
-           {"priority", NameIn(kPriorityNames, one.priority)},
-           {"tokens_per_second", one.tokensPerSecond},
+          {{"name", organisation.name},
+           {"weight", organisation.weight},
+           {"priority", NameIn(kPriorityNames, organisation.priority)},
+           {"tokens_per_second", organisation.tokensPerSecond},
            {"tokens_served",
             served == this->models.Served().end() ? 0 : served->second}});
     }
@@ -234,9 +236,10 @@
   const std::string id = QueryValue(aRequest.query, "request");
   const Json* route = this->models.Routes().Find(id);
   if (route == nullptr) {
-    return ErrorResponse({ErrorKind::UnknownService,
-                          "the route of '" + id + "' is not kept here",
-                          {}});
+    return ErrorResponse(
+        {ErrorKind::UnknownService,
+         "the route of '" + id + "' is not in the log of this daemon",
+         {}});
   }
   return JsonResponse(route->dump());
 }
--- a/Zincstep/Entry/StatusHandler.h
+++ b/Zincstep/Entry/StatusHandler.h
@@ -8,19 +8,19 @@
 
 namespace zincstep {
 
-/// Answers operators: health, metrics and what this daemon knows.
+/// Serves the operators' API: health, metrics and the daemon's state.
 class StatusHandler {
  public:
   StatusHandler(EntryContext& aContext, ModelPool& aPool, ModelHandler& aModels,
                 ServiceHandler& aServices, ClaimCoordinator& aClaims,
                 PeerHandler& aPeers, const ConfigWatcher& aWatcher);
 
-  /// An operator's request; true where it asks the daemon to stop.
+  /// Handles an operator's request; returns true if it requests a stop.
   bool OnRequest(const HttpRequest& aRequest);
 
  private:
   HttpResponse Ready() const;
-  HttpResponse MetricsAnswer();
+  HttpResponse MetricsResponse();
   nlohmann::json Status() const;
   nlohmann::json Upstreams();
   nlohmann::json Organisations() const;
