--- a/StandIns/Accelerator.cpp
+++ b/StandIns/Accelerator.cpp
@@ -6,27 +6,27 @@
 
 namespace {
 
-/// Part of a prefill that runs in one batch.
-constexpr Micros kPrefillPart = 10ms;
+/// Maximum compute time of a prefill in one batch.
+constexpr Micros kPrefillChunk = 10ms;
 
 }  // namespace
 
 void Accelerator::Decode(int aLayers, Done aDone) {
-  this->Add(this->settings.layerStep * aLayers, std::move(aDone));
+  this->Enqueue(this->settings.layerStep * aLayers, std::move(aDone));
 }
 
 void Accelerator::Prefill(int aTokens, int aLayers, Done aDone) {
   const std::int64_t nanos =
       this->settings.prefillLayerNanos * aTokens * aLayers;
-  this->Add(Micros{nanos / 1000}, std::move(aDone));
+  this->Enqueue(Micros{nanos / 1000}, std::move(aDone));
 }
 
-void Accelerator::Add(Micros aCost, Done aDone) {
+void Accelerator::Enqueue(Micros aCost, Done aDone) {
   Job job;
-  job.left = aCost;
+  job.remaining = aCost;
   job.queuedAt = this->clock.Now();
   job.done = std::move(aDone);
-  this->waiting.push_back(std::move(job));
+  this->queue.push_back(std::move(job));
   this->RunBatch();
 }
 
@@ -36,35 +36,35 @@
 }
 
 void Accelerator::RunBatch() {
-  if (this->running > 0 || this->waiting.empty() || this->stalled) {
+  if (this->runningJobs > 0 || this->queue.empty() || this->stalled) {
     return;
   }
   auto batch = std::make_shared<std::vector<Job>>();
-  Micros longest{0};
-  while (!this->waiting.empty() &&
+  Micros batchCost{0};
+  while (!this->queue.empty() &&
          batch->size() < static_cast<std::size_t>(this->settings.slots)) {
-    Job job = std::move(this->waiting.front());
-    this->waiting.pop_front();
-    job.waited += this->clock.Now() - job.queuedAt;
-    longest = std::max(longest, std::min(job.left, kPrefillPart));
+    Job job = std::move(this->queue.front());
+    this->queue.pop_front();
+    job.queueTime += this->clock.Now() - job.queuedAt;
+    batchCost = std::max(batchCost, std::min(job.remaining, kPrefillChunk));
     batch->push_back(std::move(job));
   }
-  this->running = batch->size();
-  const Micros span{static_cast<std::int64_t>(
-      static_cast<double>(longest.count()) * this->factor)};
+  this->runningJobs = batch->size();
+  const Micros duration{static_cast<std::int64_t>(
+      static_cast<double>(batchCost.count()) * this->slowdown)};
   const Instant start = this->clock.Now();
-  this->server.After(span, [this, batch, longest, start] {
-    const Micros took = this->clock.Now() - start;
-    this->running = 0;
+  this->server.RunAfter(duration, [this, batch, batchCost, start] {
+    const Micros elapsed = this->clock.Now() - start;
+    this->runningJobs = 0;
     for (Job& job : *batch) {
-      job.left -= longest;
-      job.computed += took;
-      if (job.left <= 0us) {
-        job.done(job.waited, job.computed);
+      job.remaining -= batchCost;
+      job.computeTime += elapsed;
+      if (job.remaining <= 0us) {
+        job.done(job.queueTime, job.computeTime);
         continue;
       }
       job.queuedAt = this->clock.Now();
-      this->waiting.push_front(std::move(job));
+      this->queue.push_front(std::move(job));
     }
     this->RunBatch();
   });
--- a/StandIns/Accelerator.h
+++ b/StandIns/Accelerator.h
@@ -7,57 +7,60 @@
 
 namespace zincstep::standins {
 
-/// Speed of a stand-in accelerator.
+/// Speed and batch size of a stand-in accelerator.
 struct AcceleratorSettings {
+  /// Time of one layer of a decode step, in microseconds.
   Micros layerStep = 1ms;
+  /// Maximum number of jobs in a batch.
   int slots = 8;
+  /// Time to prefill one token through one layer, in nanoseconds.
   std::int64_t prefillLayerNanos = 20000;
 };
 
-/// Runs work in batches, as a continuously batching engine does.
+/// Simulates the batching of an engine with continuous batching.
 ///
-/// A step takes as long as its longest part; what does not fit waits. A
-/// long prefill is cut into parts of a step, so that it does not hold up
-/// the others.
+/// A batch takes as long as its longest job or chunk; jobs beyond the batch
+/// size are queued. A long prefill is split into chunks, one per batch, so that
+/// it does not block other jobs.
 class Accelerator {
  public:
-  /// Called with the time spent waiting and the time spent computing.
+  /// Called with the queueing time and the compute time of the job.
   using Done = std::function<void(Micros, Micros)>;
 
   Accelerator(StandInServer& aServer, AcceleratorSettings aSettings)
       : server(aServer), settings(aSettings) {}
 
-  /// Runs one decode step of `aLayers` layers.
+  /// Enqueues one decode step of `aLayers` layers.
   void Decode(int aLayers, Done aDone);
-  /// Prefills `aTokens` tokens through `aLayers` layers.
+  /// Enqueues the prefill of `aTokens` tokens through `aLayers` layers.
   void Prefill(int aTokens, int aLayers, Done aDone);
 
-  /// Jobs that wait or run.
-  std::size_t Load() const { return this->waiting.size() + this->running; }
-  /// Makes every step this much longer.
-  void SetFactor(double aFactor) { this->factor = aFactor; }
-  /// Holds all work back while set.
+  /// Number of queued and running jobs.
+  std::size_t Load() const { return this->queue.size() + this->runningJobs; }
+  /// Multiplies the duration of every batch by `aSlowdown`.
+  void SetSlowdown(double aSlowdown) { this->slowdown = aSlowdown; }
+  /// While set, no new batch starts.
   void SetStalled(bool aStalled);
 
  private:
   struct Job {
-    Micros left{0};
-    Micros computed{0};
+    Micros remaining{0};
+    Micros computeTime{0};
     Instant queuedAt;
-    Micros waited{0};
+    Micros queueTime{0};
     Done done;
   };
 
-  void Add(Micros aCost, Done aDone);
+  void Enqueue(Micros aCost, Done aDone);
   void RunBatch();
 
   StandInServer& server;
   AcceleratorSettings settings;
   SystemClock clock;
-  std::deque<Job> waiting;
-  std::size_t running = 0;
+  std::deque<Job> queue;
+  std::size_t runningJobs = 0;
   bool stalled = false;
-  double factor = 1;
+  double slowdown = 1;
 };
 
 }  // namespace zincstep::standins
--- a/StandIns/EngineBodies.h
+++ b/StandIns/EngineBodies.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// What the heads and the stages of a stand-in engine's attempts share.
+/// Helpers shared by the attempt and the stage handlers of a stand-in engine.
 
 #include <nlohmann/json.hpp>
 #include <string_view>
@@ -10,13 +10,13 @@
 
 namespace zincstep::standins {
 
-/// Path of all calls that run one sequence.
+/// Path prefix of all calls about one sequence.
 inline constexpr std::string_view kSequencePath = "/v1/sequences/";
-/// Tokens of a block of the prefix cache.
-inline constexpr std::size_t kPrefixBlock = 16;
+/// Size of a block of the prefix cache, in tokens.
+inline constexpr std::size_t kPrefixBlockTokens = 16;
 
-/// The mathematics that a call's body asks for.
-inline LayerMath MathOf(const nlohmann::json& aBody) {
+/// Returns the math for the model, version and adapter in a call's body.
+inline LayerMath MakeLayerMath(const nlohmann::json& aBody) {
   return {aBody.at("model").get<std::string>(),
           aBody.at("version").get<std::string>(), aBody.value("adapter", "")};
 }
--- a/StandIns/EngineMain.cpp
+++ b/StandIns/EngineMain.cpp
@@ -17,22 +17,24 @@
   SettingsReader reader("standin-engine", "[flags]");
   reader.Address("listen", settings.address, "Address to listen on");
   reader.Text("name", settings.name, "Name of this upstream");
-  reader.Text("model", settings.model, "Model that it holds");
-  reader.Text("model-version", settings.version, "Version that it holds");
-  reader.Integer("first-layer", first, 0, 4096, "First layer that it holds");
-  reader.Integer("last-layer", last, 1, 4096, "Layer behind its last one");
+  reader.Text("model", settings.model, "Model to serve");
+  reader.Text("model-version", settings.version, "Version of the model");
+  reader.Integer("first-layer", first, 0, 4096, "First layer to serve");
+  reader.Integer("last-layer", last, 1, 4096,
+               "End of the layer range, exclusive");
   reader.Integer("layer-step-us", layerStep, 1, 10000000,
-                 "Time of one layer of a step, in microseconds");
-  reader.Integer("slots", slots, 1, 4096, "Sequences in a batch");
+                 "Time per layer of a decode step, in microseconds");
+  reader.Integer("slots", slots, 1, 4096,
+               "Maximum number of sequences in a batch");
   reader.Integer("prefill-layer-ns", prefill, 1, 1000000000,
-                 "Time to prefill a token through a layer, in nanoseconds");
+                 "Prefill time per token and layer, in nanoseconds");
   reader.Flag("checks-fence", settings.checksFence,
-              "Refuse orders with an older fence");
+              "Reject orders with an outdated fence");
   reader.Millis("load-ms", settings.loadTime, 0, 600000,
                 "Time to load a version");
   reader.Millis("load-lag-ms", settings.loadLag, 1, 600000,
-                "Age of the load that it reports");
-  reader.Integer("seed", seed, 0, INT64_MAX, "Seed of the faults");
+                "Interval between updates of the reported load");
+  reader.Integer("seed", seed, 0, INT64_MAX, "Seed of the random faults");
   ReadOrExit(reader, aCount, aWords);
   settings.layers = {static_cast<int>(first), static_cast<int>(last)};
   settings.accelerator.layerStep = Micros{layerStep};
--- a/StandIns/EngineStandIn.cpp
+++ b/StandIns/EngineStandIn.cpp
@@ -10,10 +10,10 @@
 
 using Json = nlohmann::json;
 
-constexpr Micros kLateBy = 30ms;
-constexpr Micros kIdleLife = 30s;
+constexpr Micros kLateTokenDelay = 30ms;
+constexpr Micros kIdleSequenceTtl = 30s;
 
-/// What all calls of one attempt have in common.
+/// Returns the fields common to all stage calls of an attempt.
 Json AttemptBody(const EngineAttempt& aAttempt) {
   Json body = Json::parse(WriteAttempt(aAttempt));
   body.erase("prompt");
@@ -29,35 +29,38 @@
       server(
           this->settings.address,
           [this](const HttpRequest& aRequest) { this->Handle(aRequest); },
-          [this](const HttpRequest& aRequest) { this->HandleGone(aRequest); }),
+          [this](const HttpRequest& aRequest) {
+            this->OnCallerDisconnected(aRequest);
+          }),
       client(this->server.Loop()),
       accelerator(this->server, this->settings.accelerator),
       version(this->settings.version) {}
 
 void EngineStandIn::Run() {
-  this->ReportLoad();
+  this->UpdateReportedLoad();
   this->server.Run();
 }
 
-/// Frees what a daemon that is gone could not free.
-void EngineStandIn::DropIdle() {
+/// Removes sequences that a daemon did not release before it stopped.
+void EngineStandIn::RemoveIdleSequences() {
   const Instant now = this->clock.Now();
   std::erase_if(this->sequences, [&](const auto& aEntry) {
-    return now - aEntry.second.usedAt >= kIdleLife;
+    return now - aEntry.second.usedAt >= kIdleSequenceTtl;
   });
 }
 
-void EngineStandIn::ReportLoad() {
-  this->DropIdle();
+void EngineStandIn::UpdateReportedLoad() {
+  this->RemoveIdleSequences();
   this->reportedLoad = static_cast<double>(this->sequences.size());
-  this->server.After(this->settings.loadLag, [this] { this->ReportLoad(); });
+  this->server.RunAfter(this->settings.loadLag,
+                        [this] { this->UpdateReportedLoad(); });
 }
 
-void EngineStandIn::Reply(ExchangeId aExchange, int aStatus,
-                          const Json& aJson) {
-  HttpResponse answer = JsonResponse(aJson.dump());
-  answer.status = aStatus;
-  this->server.Http().Respond(aExchange, std::move(answer));
+void EngineStandIn::Respond(ExchangeId aExchange, int aStatus,
+                            const Json& aJson) {
+  HttpResponse response = JsonResponse(aJson.dump());
+  response.status = aStatus;
+  this->server.Http().Respond(aExchange, std::move(response));
 }
 
 void EngineStandIn::Handle(const HttpRequest& aRequest) {
@@ -73,23 +76,24 @@
           this->settings.name, this->reportedLoad,
           static_cast<double>(this->settings.accelerator.slots), this->version,
           this->leaving};
-      this->Reply(aRequest.exchange, 200, Json::parse(WriteLoad(load)));
+      this->Respond(aRequest.exchange, 200, Json::parse(WriteLoad(load)));
     } else if (aRequest.path == "/v1/faults") {
       this->HandleFaults(aRequest);
     } else if (aRequest.path == "/v1/orders") {
       this->HandleOrder(aRequest);
     } else {
-      this->Reply(aRequest.exchange, 404, Json::object());
+      this->Respond(aRequest.exchange, 404, Json::object());
     }
-  } catch (const Json::exception& fault) {
-    this->Reply(aRequest.exchange, 400, Json{{"error", fault.what()}});
+  } catch (const Json::exception& error) {
+    this->Respond(aRequest.exchange, 400, Json{{"error", error.what()}});
   }
 }
 
-void EngineStandIn::HandleGone(const HttpRequest& aRequest) {
-  for (auto it = this->heads.begin(); it != this->heads.end(); ++it) {
+void EngineStandIn::OnCallerDisconnected(const HttpRequest& aRequest) {
+  for (auto it = this->activeAttempts.begin(); it != this->activeAttempts.end();
+       ++it) {
     if (it->second.exchange == aRequest.exchange) {
-      this->heads.erase(it);
+      this->activeAttempts.erase(it);
       return;
     }
   }
@@ -97,214 +101,217 @@
 
 void EngineStandIn::HandleFaults(const HttpRequest& aRequest) {
   const Json json = Json::parse(aRequest.body);
-  EngineFaults& now = this->faults;
-  now.stalled = json.value("stalled", now.stalled);
-  now.stepFactor = json.value("step_factor", now.stepFactor);
-  now.linkDelay =
-      Micros{1000 * json.value("link_ms", now.linkDelay.count() / 1000)};
-  now.duplicate = json.value("duplicate", now.duplicate);
-  now.late = json.value("late", now.late);
-  now.foreign = json.value("foreign", now.foreign);
+  EngineFaults& updated = this->faults;
+  updated.stalled = json.value("stalled", updated.stalled);
+  updated.stepFactor = json.value("step_factor", updated.stepFactor);
+  updated.linkDelay =
+      Micros{1000 * json.value("link_ms", updated.linkDelay.count() / 1000)};
+  updated.duplicate = json.value("duplicate", updated.duplicate);
+  updated.late = json.value("late", updated.late);
+  updated.foreign = json.value("foreign", updated.foreign);
   this->leaving = json.value("leaving", this->leaving);
-  this->accelerator.SetFactor(now.stepFactor);
-  this->accelerator.SetStalled(now.stalled);
-  this->Reply(aRequest.exchange, 200, Json::object());
+  this->accelerator.SetSlowdown(updated.stepFactor);
+  this->accelerator.SetStalled(updated.stalled);
+  this->Respond(aRequest.exchange, 200, Json::object());
 }
 
 void EngineStandIn::HandleOrder(const HttpRequest& aRequest) {
   if (aRequest.method == "GET") {
-    this->Reply(
+    this->Respond(
         aRequest.exchange, 200,
         Json{{"version", this->version},
              {"layers",
               {this->settings.layers.first, this->settings.layers.last}},
              {"fence", this->highestFence},
-             {"stray", this->strayOrders}});
+             {"stray", this->staleOrders}});
     return;
   }
   const Json json = Json::parse(aRequest.body);
   const auto fence = json.at("fence").get<std::uint64_t>();
   const bool isOld = fence < this->highestFence;
   if (this->settings.checksFence && isOld) {
-    this->Reply(aRequest.exchange, 409, Json{{"fence", this->highestFence}});
+    this->Respond(aRequest.exchange, 409, Json{{"fence", this->highestFence}});
     return;
   }
   if (json.value("expected_version", this->version) != this->version) {
-    this->Reply(aRequest.exchange, 412, Json{{"version", this->version}});
+    this->Respond(aRequest.exchange, 412, Json{{"version", this->version}});
     return;
   }
-  this->strayOrders += isOld ? 1 : 0;
+  this->staleOrders += isOld ? 1 : 0;
   this->highestFence = std::max(this->highestFence, fence);
-  const auto wanted = json.at("version").get<std::string>();
-  this->Reply(aRequest.exchange, 202, Json{{"loads", wanted}});
+  const auto requested = json.at("version").get<std::string>();
+  this->Respond(aRequest.exchange, 202, Json{{"loads", requested}});
   this->version.clear();
-  this->server.After(this->settings.loadTime, [this, wanted] {
-    this->version = wanted;
+  this->server.RunAfter(this->settings.loadTime, [this, requested] {
+    this->version = requested;
     this->sequences.clear();
   });
 }
 
 void EngineStandIn::HandleSequence(const HttpRequest& aRequest) {
-  const std::string rest = aRequest.path.substr(kSequencePath.size());
-  const std::uint64_t id = std::strtoull(rest.c_str(), nullptr, 10);
-  if (rest.ends_with("/cache")) {
-    this->HandleExport(aRequest, id);
+  const std::string suffix = aRequest.path.substr(kSequencePath.size());
+  const std::uint64_t id = std::strtoull(suffix.c_str(), nullptr, 10);
+  if (suffix.ends_with("/cache")) {
+    this->HandleCacheExport(aRequest, id);
     return;
   }
   const auto found = this->sequences.find(id);
   const auto attempt = QueryNumber(aRequest, "attempt", 0);
-  const bool known =
+  const bool isKnown =
       found != this->sequences.end() &&
       (aRequest.method == "DELETE" ? found->second.attempt <= attempt
                                    : found->second.attempt == attempt);
-  if (!known) {
-    this->Reply(aRequest.exchange, 404, Json::object());
+  if (!isKnown) {
+    this->Respond(aRequest.exchange, 404, Json::object());
     return;
   }
   if (aRequest.method == "DELETE") {
     this->sequences.erase(found);
-    this->Reply(aRequest.exchange, 200, Json::object());
+    this->Respond(aRequest.exchange, 200, Json::object());
     return;
   }
   const Sequence& sequence = found->second;
   StageProgress progress;
   progress.holdsStep = sequence.holdsStep;
   progress.waitsForNext = sequence.waitsForNext;
-  this->Reply(aRequest.exchange, 200, Json::parse(WriteProgress(progress)));
+  this->Respond(aRequest.exchange, 200, Json::parse(WriteProgress(progress)));
 }
 
-void EngineStandIn::HandleExport(const HttpRequest& aRequest,
-                                 std::uint64_t aRequestId) {
+void EngineStandIn::HandleCacheExport(const HttpRequest& aRequest,
+                                      std::uint64_t aRequestId) {
   const auto found = this->sequences.find(aRequestId);
-  const LayerRange wanted{static_cast<int>(QueryNumber(aRequest, "first", 0)),
-                          static_cast<int>(QueryNumber(aRequest, "last", 0))};
-  if (found == this->sequences.end() || !found->second.layers.Covers(wanted)) {
-    this->Reply(aRequest.exchange, 404, Json::object());
+  const LayerRange requested{
+      static_cast<int>(QueryNumber(aRequest, "first", 0)),
+      static_cast<int>(QueryNumber(aRequest, "last", 0))};
+  if (found == this->sequences.end() ||
+      !found->second.layers.Covers(requested)) {
+    this->Respond(aRequest.exchange, 404, Json::object());
     return;
   }
   const Sequence& sequence = found->second;
   Json caches = Json::array();
-  for (int layer = wanted.first; layer < wanted.last; ++layer) {
+  for (int layer = requested.first; layer < requested.last; ++layer) {
     caches.push_back(
         sequence
             .caches[static_cast<std::size_t>(layer - sequence.layers.first)]);
   }
-  this->server.After(this->faults.linkDelay,
-                     [this, caches, exchange = aRequest.exchange] {
-                       this->Reply(exchange, 200, Json{{"caches", caches}});
-                     });
+  this->server.RunAfter(
+      this->faults.linkDelay, [this, caches, exchange = aRequest.exchange] {
+        this->Respond(exchange, 200, Json{{"caches", caches}});
+      });
 }
 
 void EngineStandIn::HandleAttempt(const HttpRequest& aRequest) {
   Result<EngineAttempt> attempt = ReadAttempt(aRequest.body);
   if (!attempt || attempt->stages.empty() || attempt->prompt.empty()) {
-    this->Reply(aRequest.exchange, 400, Json{{"error", "not an attempt"}});
+    this->Respond(aRequest.exchange, 400, Json{{"error", "invalid attempt"}});
     return;
   }
   if (this->leaving || attempt->version != this->version) {
-    this->Reply(aRequest.exchange, 409, Json{{"version", this->version}});
+    this->Respond(aRequest.exchange, 409, Json{{"version", this->version}});
     return;
   }
-  Head head;
-  head.exchange = aRequest.exchange;
-  head.tokens = LayerMath::Tokenize(attempt->prompt);
-  head.promptTokens = head.tokens.size();
-  head.tokens.insert(head.tokens.end(), attempt->tokens.begin(),
-                     attempt->tokens.end());
-  head.attempt = std::move(*attempt);
-  const std::uint64_t key = head.exchange;
-  this->heads[key] = std::move(head);
+  ActiveAttempt active;
+  active.exchange = aRequest.exchange;
+  active.tokens = LayerMath::Tokenize(attempt->prompt);
+  active.promptTokens = active.tokens.size();
+  active.tokens.insert(active.tokens.end(), attempt->tokens.begin(),
+                       attempt->tokens.end());
+  active.attempt = std::move(*attempt);
+  const std::uint64_t key = active.exchange;
+  this->activeAttempts[key] = std::move(active);
   this->server.Http().StartStream(key, 200,
                                   {{"Content-Type", "application/x-ndjson"}});
   this->PrefillAttempt(key);
 }
 
 void EngineStandIn::PrefillAttempt(std::uint64_t aKey) {
-  Head& head = this->heads.at(aKey);
+  ActiveAttempt& active = this->activeAttempts.at(aKey);
   auto call = std::make_shared<StageCall>();
-  call->body = AttemptBody(head.attempt);
+  call->body = AttemptBody(active.attempt);
   call->body["phase"] = "prefill";
-  const LayerMath math = MathOf(call->body);
+  const LayerMath math = MakeLayerMath(call->body);
   Json inputs = Json::array();
-  for (std::size_t i = 0; i + 1 < head.tokens.size(); ++i) {
-    inputs.push_back(math.Embed(head.tokens[i], i));
+  for (std::size_t i = 0; i + 1 < active.tokens.size(); ++i) {
+    inputs.push_back(math.Embed(active.tokens[i], i));
   }
   call->body["positions"] = inputs.size();
   call->body["inputs"] = std::move(inputs);
   std::vector<std::uint64_t> prefixHashes;
-  for (std::size_t n = kPrefixBlock; n <= head.promptTokens;
-       n += kPrefixBlock) {
+  for (std::size_t n = kPrefixBlockTokens; n <= active.promptTokens;
+       n += kPrefixBlockTokens) {
     const std::string_view bytes(
-        reinterpret_cast<const char*>(head.tokens.data()), 4 * n);
-    prefixHashes.push_back(Hash64(bytes, Hash64(head.attempt.cacheSalt)));
+        reinterpret_cast<const char*>(active.tokens.data()), 4 * n);
+    prefixHashes.push_back(Hash64(bytes, Hash64(active.attempt.cacheSalt)));
   }
   call->body["prefixes"] = prefixHashes;
-  this->RunStage(call, [this, aKey](Json aAnswer) {
-    const auto found = this->heads.find(aKey);
-    if (found == this->heads.end()) {
+  this->RunStage(call, [this, aKey](Json aResponse) {
+    const auto found = this->activeAttempts.find(aKey);
+    if (found == this->activeAttempts.end()) {
       return;
     }
-    if (aAnswer.contains("failed_stage")) {
-      this->EndHead(aKey, &aAnswer);
+    if (aResponse.contains("failed_stage")) {
+      this->EndAttempt(aKey, &aResponse);
       return;
     }
-    found->second.cachedTokens = aAnswer.value("cached_tokens", 0);
+    found->second.cachedTokens = aResponse.value("cached_tokens", 0);
     this->StepAttempt(aKey);
   });
 }
 
 void EngineStandIn::StepAttempt(std::uint64_t aKey) {
-  Head& head = this->heads.at(aKey);
+  ActiveAttempt& active = this->activeAttempts.at(aKey);
   auto call = std::make_shared<StageCall>();
-  call->body = AttemptBody(head.attempt);
+  call->body = AttemptBody(active.attempt);
   call->body["phase"] = "step";
-  const std::size_t position = head.tokens.size() - 1;
-  const LayerMath math = MathOf(call->body);
+  const std::size_t position = active.tokens.size() - 1;
+  const LayerMath math = MakeLayerMath(call->body);
   call->body["positions"] = position;
   call->body["inputs"] =
-      Json::array({math.Embed(head.tokens.back(), position)});
+      Json::array({math.Embed(active.tokens.back(), position)});
   call->position = position;
-  this->RunStage(
-      call, [this, aKey](Json aAnswer) { this->OnStepDone(aKey, aAnswer); });
+  this->RunStage(call, [this, aKey](Json aResponse) {
+    this->OnStepDone(aKey, aResponse);
+  });
 }
 
-void EngineStandIn::OnStepDone(std::uint64_t aKey, const Json& aAnswer) {
-  const auto found = this->heads.find(aKey);
-  if (found == this->heads.end()) {
+void EngineStandIn::OnStepDone(std::uint64_t aKey, const Json& aResponse) {
+  const auto found = this->activeAttempts.find(aKey);
+  if (found == this->activeAttempts.end()) {
     return;
   }
-  if (aAnswer.contains("failed_stage")) {
-    this->EndHead(aKey, &aAnswer);
+  if (aResponse.contains("failed_stage")) {
+    this->EndAttempt(aKey, &aResponse);
     return;
   }
-  Head& head = found->second;
+  ActiveAttempt& active = found->second;
   TokenEvent event;
-  event.request = head.attempt.request;
-  event.attempt = head.attempt.attempt;
-  event.position = static_cast<int>(head.tokens.size() - head.promptTokens);
-  event.token = aAnswer.at("token").get<std::int32_t>();
+  event.request = active.attempt.request;
+  event.attempt = active.attempt.attempt;
+  event.position = static_cast<int>(active.tokens.size() - active.promptTokens);
+  event.token = aResponse.at("token").get<std::int32_t>();
   event.text = LayerMath::TextOf(event.token);
-  event.promptTokens = static_cast<int>(head.promptTokens);
-  event.cachedTokens = head.cachedTokens;
-  for (const Json& stage : aAnswer.at("reports")) {
+  event.promptTokens = static_cast<int>(active.promptTokens);
+  event.cachedTokens = active.cachedTokens;
+  for (const Json& stage : aResponse.at("reports")) {
     event.stages.push_back(StageReportFromJson(stage));
   }
-  head.tokens.push_back(event.token);
-  const bool full = event.position + 1 >= head.attempt.maxTokens;
-  this->SendToken(head, std::move(event));
-  if (full) {
-    this->EndHead(aKey, nullptr);
+  active.tokens.push_back(event.token);
+  const bool isComplete = event.position + 1 >= active.attempt.maxTokens;
+  this->SendToken(active, std::move(event));
+  if (isComplete) {
+    this->EndAttempt(aKey, nullptr);
     return;
   }
   this->StepAttempt(aKey);
 }
 
-void EngineStandIn::SendToken(Head& aHead, TokenEvent aEvent) {
+void EngineStandIn::SendToken(ActiveAttempt& aActive, TokenEvent aEvent) {
   EngineLine line;
   line.isToken = true;
   line.token = std::move(aEvent);
   HttpServer& http = this->server.Http();
-  const ExchangeId exchange = aHead.exchange;
+  const ExchangeId exchange = aActive.exchange;
   if (this->random.Unit() < this->faults.foreign) {
     EngineLine foreign = line;
     foreign.token.request += 1;
@@ -316,23 +323,24 @@
     http.Append(exchange, text);
   }
   if (this->random.Unit() < this->faults.late) {
-    this->server.After(
-        kLateBy, [&http, exchange, text] { http.Append(exchange, text); });
+    this->server.RunAfter(kLateTokenDelay, [&http, exchange, text] {
+      http.Append(exchange, text);
+    });
   }
 }
 
-void EngineStandIn::EndHead(std::uint64_t aKey, const Json* aFailure) {
-  const Head& head = this->heads.at(aKey);
+void EngineStandIn::EndAttempt(std::uint64_t aKey, const Json* aFailure) {
+  const ActiveAttempt& active = this->activeAttempts.at(aKey);
   if (aFailure != nullptr) {
     EngineLine line;
     line.failedStage = aFailure->at("failed_stage").get<int>();
     const auto name = aFailure->at("failure").get<std::string>();
     line.failure = ValueIn(kHopFailureNames, std::string_view(name))
                        .value_or(HopFailure::Dead);
-    this->server.Http().Append(head.exchange, WriteLine(line));
+    this->server.Http().Append(active.exchange, WriteLine(line));
   }
-  this->server.Http().Finish(head.exchange);
-  this->heads.erase(aKey);
+  this->server.Http().Finish(active.exchange);
+  this->activeAttempts.erase(aKey);
 }
 
 }  // namespace zincstep::standins
--- a/StandIns/EngineStandIn.h
+++ b/StandIns/EngineStandIn.h
@@ -16,49 +16,59 @@
 
 /// Settings of a stand-in model engine.
 struct EngineStandInSettings {
+  /// Address to listen on, as host:port; port 0 selects a free port.
   std::string address = "127.0.0.1:0";
+  /// Name in the load reports.
   std::string name = "engine";
   std::string model = "demo";
   std::string version = "v1";
+  /// Layers that the engine has loaded.
   LayerRange layers{0, 8};
   AcceleratorSettings accelerator;
+  /// Whether orders with an outdated fence are rejected.
   bool checksFence = false;
-  /// Time that loading a version takes.
+  /// Time to load a version.
   Micros loadTime = 1s;
-  /// Age of the load that is reported.
+  /// Interval between updates of the reported load, thus its maximum age.
   Micros loadLag = 200ms;
+  /// Maximum number of blocks in the prefix cache.
   std::size_t prefixCapacity = 1024;
+  /// Seed of the random faults.
   std::uint64_t seed = 1;
 };
 
-/// Faults of a stand-in engine, set while it runs.
+/// Injected faults of a stand-in engine, set at run time.
 struct EngineFaults {
-  /// Steps never end, though the process answers.
+  /// No step completes, while the process still responds to requests.
   bool stalled = false;
+  /// Multiplies the duration of every batch.
   double stepFactor = 1;
-  /// Added to each call to the next stage.
+  /// Delay added to each call to the next stage and each cache export.
   Micros linkDelay{0};
-  /// Share of tokens that are sent twice, late, or under another request.
+  /// Probabilities that a token is sent twice, again after a delay, or also
+  /// under the ID of another request.
   double duplicate = 0;
   double late = 0;
   double foreign = 0;
 };
 
-/// A model engine that holds a range of layers, in miniature.
+/// A minimal model engine that serves a range of layers over HTTP.
 class EngineStandIn {
  public:
   explicit EngineStandIn(EngineStandInSettings aSettings);
 
+  /// Starts listening.
   Result<void> Start() { return this->server.Start(); }
+  /// Serves until a signal or `Quit`.
   void Run();
   StandInServer& Server() { return this->server; }
-  /// Largest number of orders of an older fence that took effect.
-  int StrayOrders() const { return this->strayOrders; }
+  /// Number of orders that took effect despite an outdated fence.
+  int StaleOrders() const { return this->staleOrders; }
 
  private:
   using Json = nlohmann::json;
 
-  /// One request's cache on this stage.
+  /// The layer caches of one request on this stage.
   struct Sequence {
     int attempt = 0;
     LayerRange layers;
@@ -67,21 +77,21 @@
     bool waitsForNext = false;
     Instant usedAt;
   };
-  /// An attempt whose first stage this is.
-  struct Head {
+  /// An attempt whose first stage runs on this engine.
+  struct ActiveAttempt {
     EngineAttempt attempt;
     ExchangeId exchange = 0;
     std::vector<std::int32_t> tokens;
     std::size_t promptTokens = 0;
     int cachedTokens = 0;
   };
-  /// Work that one stage is to do, with where its answer goes.
+  /// A call to one stage, with the exchange that receives its response.
   struct StageCall {
     ExchangeId exchange = 0;
     Json body;
     std::size_t stage = 0;
     std::size_t position = 0;
-    Instant arrived;
+    Instant receivedAt;
     Micros queue{0};
     Micros compute{0};
   };
@@ -89,34 +99,36 @@
   using StageDone = std::function<void(Json)>;
 
   void Handle(const HttpRequest& aRequest);
-  void HandleGone(const HttpRequest& aRequest);
+  void OnCallerDisconnected(const HttpRequest& aRequest);
   void HandleAttempt(const HttpRequest& aRequest);
   void HandleStage(const HttpRequest& aRequest);
   void HandleSequence(const HttpRequest& aRequest);
-  void HandleExport(const HttpRequest& aRequest, std::uint64_t aRequestId);
+  void HandleCacheExport(const HttpRequest& aRequest, std::uint64_t aRequestId);
   void HandleFaults(const HttpRequest& aRequest);
   void HandleOrder(const HttpRequest& aRequest);
-  void Reply(ExchangeId aExchange, int aStatus, const Json& aJson);
+  void Respond(ExchangeId aExchange, int aStatus, const Json& aJson);
 
   void PrefillAttempt(std::uint64_t aKey);
   void StepAttempt(std::uint64_t aKey);
-  void OnStepDone(std::uint64_t aKey, const Json& aAnswer);
-  void SendToken(Head& aHead, TokenEvent aEvent);
-  void EndHead(std::uint64_t aKey, const Json* aFailure);
+  void OnStepDone(std::uint64_t aKey, const Json& aResponse);
+  void SendToken(ActiveAttempt& aActive, TokenEvent aEvent);
+  void EndAttempt(std::uint64_t aKey, const Json* aFailure);
 
   void RunStage(StagePtr aCall, StageDone aDone);
-  void Prepare(StagePtr aCall, StageDone aDone);
+  void PrepareCache(StagePtr aCall, StageDone aDone);
   void ImportCache(StagePtr aCall, StageDone aDone);
   void ComputePrefill(StagePtr aCall, StageDone aDone);
   void ComputeStep(StagePtr aCall, StageDone aDone);
-  void HandOn(StagePtr aCall, StageDone aDone);
-  Json Failure(std::size_t aStage, HopFailure aFailure) const;
+  void ForwardToNextStage(StagePtr aCall, StageDone aDone);
+  Json MakeFailure(std::size_t aStage, HopFailure aFailure) const;
   Json RunLayers(Sequence& aSequence, const Json& aInputs,
                  std::size_t aPosition, const Json& aBody);
-  Sequence* Enter(const StagePtr& aCall, bool aMayCreate = false);
-  int CachedPrefix(const Json& aBody, bool aRemember);
-  void ReportLoad();
-  void DropIdle();
+  /// Returns the sequence of the call's request and updates its attempt; null
+  /// if it is missing or already belongs to a newer attempt.
+  Sequence* OpenSequence(const StagePtr& aCall, bool aMayCreate = false);
+  int MatchPrefixCache(const Json& aBody, bool aShouldInsert);
+  void UpdateReportedLoad();
+  void RemoveIdleSequences();
 
   EngineStandInSettings settings;
   SystemClock clock;
@@ -126,12 +138,12 @@
   Accelerator accelerator;
   EngineFaults faults;
   std::unordered_map<std::uint64_t, Sequence> sequences;
-  std::map<std::uint64_t, Head> heads;
-  std::set<std::uint64_t> prefixes;
+  std::map<std::uint64_t, ActiveAttempt> activeAttempts;
+  std::set<std::uint64_t> prefixHashes;
   std::string version;
   bool leaving = false;
   std::uint64_t highestFence = 0;
-  int strayOrders = 0;
+  int staleOrders = 0;
   double reportedLoad = 0;
 };
 
--- a/StandIns/LoopClient.cpp
+++ b/StandIns/LoopClient.cpp
@@ -8,7 +8,7 @@
 void LoopClient::Call(HttpCall aCall, Done aDone) {
   const std::lock_guard<std::mutex> lock(this->mutex);
   const CallId id = this->http->Start(std::move(aCall), *this);
-  this->open[id] = std::move(aDone);
+  this->pendingCalls[id] = std::move(aDone);
 }
 
 void LoopClient::OnCallData(CallId, std::string) {}
@@ -17,8 +17,8 @@
   Done done;
   {
     const std::lock_guard<std::mutex> lock(this->mutex);
-    done = std::move(this->open.at(aCall));
-    this->open.erase(aCall);
+    done = std::move(this->pendingCalls.at(aCall));
+    this->pendingCalls.erase(aCall);
   }
   asio::post(this->loop,
              [done = std::move(done), result = std::move(aResult)]() mutable {
--- a/StandIns/LoopClient.h
+++ b/StandIns/LoopClient.h
@@ -9,7 +9,7 @@
 
 namespace zincstep::standins {
 
-/// HTTP calls whose results come back on a stand-in's loop.
+/// An HTTP client that delivers results on a stand-in's event loop.
 class LoopClient : private HttpCallListener {
  public:
   using Done = std::function<void(HttpCallResult)>;
@@ -25,7 +25,7 @@
 
   asio::io_context& loop;
   std::mutex mutex;
-  std::unordered_map<CallId, Done> open;
+  std::unordered_map<CallId, Done> pendingCalls;
   std::unique_ptr<HttpClient> http;
 };
 
--- a/StandIns/MemoryStore.cpp
+++ b/StandIns/MemoryStore.cpp
@@ -4,8 +4,9 @@
 
 void MemoryStore::Expire() {
   const Instant now = this->clock.Now();
-  std::erase_if(this->leases,
-                [&](const auto& aEntry) { return aEntry.second.until <= now; });
+  std::erase_if(this->leases, [&](const auto& aEntry) {
+    return aEntry.second.expiresAt <= now;
+  });
   std::erase_if(this->rows, [&](const auto& aEntry) {
     const LeaseId lease = aEntry.second.lease;
     return lease != 0 && !this->leases.contains(lease);
@@ -36,10 +37,10 @@
     LeaseId aLease) {
   this->Expire();
   const auto found = this->rows.find(aKey);
-  const std::uint64_t present =
+  const std::uint64_t current =
       found == this->rows.end() ? 0 : found->second.stored.revision;
-  const bool leaseLives = aLease == 0 || this->leases.contains(aLease);
-  if (present != aExpected || !leaseLives) {
+  const bool isLeaseValid = aLease == 0 || this->leases.contains(aLease);
+  if (current != aExpected || !isLeaseValid) {
     return std::nullopt;
   }
   this->revision += 1;
@@ -69,7 +70,7 @@
   if (found == this->leases.end()) {
     return false;
   }
-  found->second.until = this->clock.Now() + found->second.ttl;
+  found->second.expiresAt = this->clock.Now() + found->second.ttl;
   return true;
 }
 
--- a/StandIns/MemoryStore.h
+++ b/StandIns/MemoryStore.h
@@ -11,27 +11,30 @@
 
 namespace zincstep::standins {
 
-/// The state of the stand-in key-value service, apart from any network.
+/// The in-memory state of the stand-in key-value service, without network.
 class MemoryStore {
  public:
   explicit MemoryStore(const Clock& aClock) : clock(aClock) {}
 
-  /// The value at a key, if it is there.
+  /// Returns the value of a key, or nullopt if the key does not exist.
   std::optional<StoredValue> Get(const std::string& aKey);
-  /// All keys with a prefix.
+  /// Returns all keys with a prefix, sorted, with their values.
   std::vector<KeyedValue> List(const std::string& aPrefix);
-  /// Writes if the revision fits; gives the new one.
+  /// Writes the value and returns its new revision.
+  ///
+  /// Returns nullopt if the key is not at revision `aExpected` (0: the key
+  /// does not exist) or if the lease has expired. `aLease` 0 means no lease.
   std::optional<std::uint64_t> CompareAndSwap(const std::string& aKey,
                                               std::uint64_t aExpected,
                                               const std::string& aValue,
                                               LeaseId aLease);
-  /// Removes if the revision fits.
+  /// Removes the key; returns false if it is not at revision `aExpected`.
   bool Remove(const std::string& aKey, std::uint64_t aExpected);
-  /// Grants a lease.
+  /// Grants a lease that expires after `aTtl` unless renewed.
   LeaseId GrantLease(Micros aTtl);
-  /// Renews a lease; false where it has lapsed.
+  /// Renews a lease for its TTL; returns false if it has expired.
   bool RenewLease(LeaseId aLease);
-  /// Drops lapsed leases and their keys.
+  /// Removes expired leases and their keys.
   void Expire();
 
  private:
@@ -41,7 +44,7 @@
   };
   struct Lease {
     Micros ttl{0};
-    Instant until;
+    Instant expiresAt;
   };
 
   const Clock& clock;
--- a/StandIns/PlatformMain.cpp
+++ b/StandIns/PlatformMain.cpp
@@ -11,8 +11,9 @@
   std::int64_t seed = 1;
   SettingsReader reader("standin-platform", "[flags]");
   reader.Address("listen", address, "Address to listen on");
-  reader.Millis("vm-list-lag-ms", lag, 0, 600000, "Lag of the VM list");
-  reader.Integer("seed", seed, 0, INT64_MAX, "Seed of the faults");
+  reader.Millis("vm-list-lag-ms", lag, 0, 600000,
+                "Delay until a VM change appears in the VM list");
+  reader.Integer("seed", seed, 0, INT64_MAX, "Seed of the random faults");
   ReadOrExit(reader, aCount, aWords);
   standins::PlatformStandIn platform(address, lag,
                                      static_cast<std::uint64_t>(seed));
--- a/StandIns/PlatformStandIn.cpp
+++ b/StandIns/PlatformStandIn.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::string_view kKeyPath = "/v1/kv/";
 constexpr std::string_view kWatchPath = "/v1/watch/";
-constexpr std::size_t kMaxValue = 1 << 20;
+constexpr std::size_t kMaxValueBytes = 1 << 20;
 
 Json ToJson(const StoredValue& aValue) {
   return {{"value", aValue.value}, {"revision", aValue.revision}};
@@ -59,22 +59,22 @@
   const bool isWrite = this->IsWrite(aRequest);
   (isWatch ? this->counts.watches
            : (isWrite ? this->counts.writes : this->counts.reads)) += 1;
-  // A failure domain that is cut off is told by the caller's name, which
-  // ends in its domain.
+  // The User-Agent header of a caller ends with its failure domain, which
+  // decides whether the call is partitioned.
   const std::string caller(FindHeader(aRequest.headers, "User-Agent"));
-  const bool cut =
-      this->faults.cutOff.contains(caller.substr(caller.find('/') + 1));
-  if (this->faults.outage || cut || !this->IsWithinLimits(isWrite)) {
+  const bool isPartitioned = this->faults.partitionedDomains.contains(
+      caller.substr(caller.find('/') + 1));
+  if (this->faults.outage || isPartitioned || !this->IsWithinLimits(isWrite)) {
     this->counts.refused += 1;
-    this->Answer(aRequest.exchange, 503, "{}");
+    this->Respond(aRequest.exchange, 503, "{}");
     return;
   }
   if (this->faults.delay == 0us) {
     this->Serve(aRequest);
     return;
   }
-  this->server.After(this->faults.delay,
-                     [this, aRequest] { this->Serve(aRequest); });
+  this->server.RunAfter(this->faults.delay,
+                        [this, aRequest] { this->Serve(aRequest); });
 }
 
 void PlatformStandIn::HandleFaults(const HttpRequest& aRequest) {
@@ -83,17 +83,18 @@
     this->faults.outage = json.value("outage", this->faults.outage);
     this->faults.delay = Micros{
         1000 * json.value("delay_ms", this->faults.delay.count() / 1000)};
-    this->faults.loseAnswers =
-        json.value("lose_answers", this->faults.loseAnswers);
+    this->faults.lostResponseRate =
+        json.value("lose_answers", this->faults.lostResponseRate);
     this->faults.writeLimit =
         json.value("write_limit", this->faults.writeLimit);
     this->faults.readLimit = json.value("read_limit", this->faults.readLimit);
     if (json.contains("cut_off")) {
-      this->faults.cutOff = json.at("cut_off").get<std::set<std::string>>();
+      this->faults.partitionedDomains =
+          json.at("cut_off").get<std::set<std::string>>();
     }
-    this->Answer(aRequest.exchange, 200, "{}");
-  } catch (const Json::exception& fault) {
-    this->Answer(aRequest.exchange, 400, Json{{"error", fault.what()}}.dump());
+    this->Respond(aRequest.exchange, 200, "{}");
+  } catch (const Json::exception& error) {
+    this->Respond(aRequest.exchange, 400, Json{{"error", error.what()}}.dump());
   }
 }
 
@@ -102,7 +103,7 @@
                   {"writes", this->counts.writes},
                   {"watches", this->counts.watches},
                   {"refused", this->counts.refused}};
-  this->Answer(aRequest.exchange, 200, json.dump());
+  this->Respond(aRequest.exchange, 200, json.dump());
 }
 
 void PlatformStandIn::Serve(const HttpRequest& aRequest) {
@@ -118,20 +119,20 @@
   } else if (path.starts_with("/v1/vms")) {
     this->ServeVms(aRequest);
   } else {
-    this->Answer(aRequest.exchange, 400, "{}");
+    this->Respond(aRequest.exchange, 400, "{}");
   }
 }
 
-void PlatformStandIn::Answer(ExchangeId aExchange, int aStatus,
-                             std::string aJson) {
-  HttpResponse answer = JsonResponse(std::move(aJson));
-  answer.status = aStatus;
-  const bool lost = this->random.Unit() < this->faults.loseAnswers;
-  if (lost) {
-    // The effect stands; the caller learns nothing of it.
-    answer.status = 503;
+void PlatformStandIn::Respond(ExchangeId aExchange, int aStatus,
+                              std::string aJson) {
+  HttpResponse response = JsonResponse(std::move(aJson));
+  response.status = aStatus;
+  const bool isLost = this->random.Unit() < this->faults.lostResponseRate;
+  if (isLost) {
+    // The call has taken effect, but the caller sees an error.
+    response.status = 503;
   }
-  this->server.Http().Respond(aExchange, std::move(answer));
+  this->server.Http().Respond(aExchange, std::move(response));
 }
 
 void PlatformStandIn::ServeKey(const HttpRequest& aRequest,
@@ -144,18 +145,18 @@
     const auto expected =
         static_cast<std::uint64_t>(QueryNumber(aRequest, "if", 0));
     const bool removed = this->store.Remove(aKey, expected);
-    this->Answer(aRequest.exchange, removed ? 200 : 409, "{}");
+    this->Respond(aRequest.exchange, removed ? 200 : 409, "{}");
     return;
   }
   const auto value = this->store.Get(aKey);
-  this->Answer(aRequest.exchange, value ? 200 : 404,
-               value ? ToJson(*value).dump() : "{}");
+  this->Respond(aRequest.exchange, value ? 200 : 404,
+                value ? ToJson(*value).dump() : "{}");
 }
 
 void PlatformStandIn::ServeSwap(const HttpRequest& aRequest,
                                 const std::string& aKey) {
-  if (aRequest.body.size() > kMaxValue) {
-    this->Answer(aRequest.exchange, 413, "{}");
+  if (aRequest.body.size() > kMaxValueBytes) {
+    this->Respond(aRequest.exchange, 413, "{}");
     return;
   }
   const auto expected =
@@ -164,11 +165,11 @@
   const auto revision =
       this->store.CompareAndSwap(aKey, expected, aRequest.body, lease);
   if (!revision) {
-    this->Answer(aRequest.exchange, 409, "{}");
+    this->Respond(aRequest.exchange, 409, "{}");
     return;
   }
-  this->WakeWatchers(aKey);
-  this->Answer(aRequest.exchange, 200, Json{{"revision", *revision}}.dump());
+  this->NotifyWatchers(aKey);
+  this->Respond(aRequest.exchange, 200, Json{{"revision", *revision}}.dump());
 }
 
 void PlatformStandIn::ServeList(const HttpRequest& aRequest) {
@@ -179,43 +180,44 @@
     json["key"] = item.key;
     values.push_back(std::move(json));
   }
-  this->Answer(aRequest.exchange, 200, Json{{"values", values}}.dump());
+  this->Respond(aRequest.exchange, 200, Json{{"values", values}}.dump());
 }
 
 void PlatformStandIn::ServeWatch(const HttpRequest& aRequest,
                                  const std::string& aKey) {
-  const auto after =
+  const auto afterRevision =
       static_cast<std::uint64_t>(QueryNumber(aRequest, "after", 0));
   const auto value = this->store.Get(aKey);
-  if (value && value->revision > after) {
-    this->Answer(aRequest.exchange, 200, ToJson(*value).dump());
+  if (value && value->revision > afterRevision) {
+    this->Respond(aRequest.exchange, 200, ToJson(*value).dump());
     return;
   }
-  this->waiting.push_back({aRequest.exchange, after, aKey});
+  this->pendingWatches.push_back({aRequest.exchange, afterRevision, aKey});
   const Micros wait{1000 * QueryNumber(aRequest, "wait_ms", 1000)};
-  this->server.After(wait, [this, exchange = aRequest.exchange] {
-    const auto erased = std::erase_if(this->waiting, [&](const Waiting& aOne) {
-      return aOne.exchange == exchange;
-    });
+  this->server.RunAfter(wait, [this, exchange = aRequest.exchange] {
+    const auto erased =
+        std::erase_if(this->pendingWatches, [&](const PendingWatch& aWatch) {
+          return aWatch.exchange == exchange;
+        });
     if (erased > 0) {
-      this->Answer(exchange, 404, "{}");
+      this->Respond(exchange, 404, "{}");
     }
   });
 }
 
-void PlatformStandIn::WakeWatchers(const std::string& aKey) {
+void PlatformStandIn::NotifyWatchers(const std::string& aKey) {
   const auto value = this->store.Get(aKey);
-  std::vector<ExchangeId> woken;
-  std::erase_if(this->waiting, [&](const Waiting& aOne) {
-    const bool wakes =
-        aOne.key == aKey && value && value->revision > aOne.after;
-    if (wakes) {
-      woken.push_back(aOne.exchange);
+  std::vector<ExchangeId> notified;
+  std::erase_if(this->pendingWatches, [&](const PendingWatch& aWatch) {
+    const bool isChanged =
+        aWatch.key == aKey && value && value->revision > aWatch.afterRevision;
+    if (isChanged) {
+      notified.push_back(aWatch.exchange);
     }
-    return wakes;
+    return isChanged;
   });
-  for (const ExchangeId exchange : woken) {
-    this->Answer(exchange, 200, ToJson(*value).dump());
+  for (const ExchangeId exchange : notified) {
+    this->Respond(exchange, 200, ToJson(*value).dump());
   }
 }
 
@@ -223,23 +225,23 @@
   if (aRequest.method == "POST") {
     const Micros ttl{1000 * QueryNumber(aRequest, "ttl_ms", 10000)};
     const Json json{{"lease", this->store.GrantLease(ttl)}};
-    this->Answer(aRequest.exchange, 200, json.dump());
+    this->Respond(aRequest.exchange, 200, json.dump());
     return;
   }
   const std::string id = aRequest.path.substr(aRequest.path.rfind('/') + 1);
   const bool renewed =
       this->store.RenewLease(std::strtoull(id.c_str(), nullptr, 10));
-  this->Answer(aRequest.exchange, renewed ? 200 : 404, "{}");
+  this->Respond(aRequest.exchange, renewed ? 200 : 404, "{}");
 }
 
 void PlatformStandIn::ServeVms(const HttpRequest& aRequest) {
   if (aRequest.method != "GET") {
-    // Stands for what the platform learns of its VMs; shown after the lag.
+    // Simulates a VM change that appears in the platform's list after a lag.
     const std::string name = aRequest.path.substr(aRequest.path.rfind('/') + 1);
     const std::string json = aRequest.method == "PUT" ? aRequest.body : "";
     this->vmChanges.push_back(
         {this->clock.Now() + this->vmListLag, name, json});
-    this->Answer(aRequest.exchange, 200, "{}");
+    this->Respond(aRequest.exchange, 200, "{}");
     return;
   }
   while (!this->vmChanges.empty() &&
@@ -253,18 +255,18 @@
     this->vmChanges.pop_front();
     this->vmsRevision += 1;
   }
-  const auto known =
+  const auto knownRevision =
       static_cast<std::uint64_t>(QueryNumber(aRequest, "after", 0));
-  if (known == this->vmsRevision) {
-    this->Answer(aRequest.exchange, 304, "");
+  if (knownRevision == this->vmsRevision) {
+    this->Respond(aRequest.exchange, 304, "");
     return;
   }
   Json list = Json::array();
   for (const auto& [name, json] : this->vms) {
     list.push_back(Json::parse(json, nullptr, false));
   }
-  this->Answer(aRequest.exchange, 200,
-               Json{{"vms", list}, {"revision", this->vmsRevision}}.dump());
+  this->Respond(aRequest.exchange, 200,
+                Json{{"vms", list}, {"revision", this->vmsRevision}}.dump());
 }
 
 }  // namespace zincstep::standins
--- a/StandIns/PlatformStandIn.h
+++ b/StandIns/PlatformStandIn.h
@@ -10,22 +10,23 @@
 
 namespace zincstep::standins {
 
-/// Faults and limits of the stand-in platform, set while it runs.
+/// Injected faults and rate limits of the stand-in platform, set at run time.
 struct PlatformFaults {
-  /// Every call but the ones that set faults fails.
+  /// Every call fails, except those to the fault and counter endpoints.
   bool outage = false;
-  /// Added to each call.
+  /// Delay added to each call.
   Micros delay{0};
-  /// Share of writes and reads whose answer is lost after it took effect.
-  double loseAnswers = 0;
-  /// Calls a second; 0 means no limit.
+  /// Probability that a call takes effect but its response is lost.
+  double lostResponseRate = 0;
+  /// Limits in calls per second; 0 means no limit.
   double writeLimit = 0;
   double readLimit = 0;
-  /// Failure domains whose calls fail; see `userAgent` of the settings.
-  std::set<std::string> cutOff;
+  /// Failure domains whose calls fail. The domain of a call follows the slash
+  /// in its User-Agent header; see `userAgent` of the settings.
+  std::set<std::string> partitionedDomains;
 };
 
-/// Counts of calls, for the measurements.
+/// Numbers of calls by kind, for measurements.
 struct PlatformCounts {
   std::uint64_t reads = 0;
   std::uint64_t writes = 0;
@@ -33,28 +34,29 @@
   std::uint64_t refused = 0;
 };
 
-/// The platform's stand-in: key-value service and VM list over HTTP.
+/// Stand-in of the platform: key-value service and VM list over HTTP.
 class PlatformStandIn {
  public:
+  /// A VM change appears in the VM list after `aVmListLag`.
   PlatformStandIn(const std::string& aAddress, Micros aVmListLag,
                   std::uint64_t aSeed);
 
-  /// Starts to listen.
+  /// Starts listening.
   Result<void> Start() { return this->server.Start(); }
   /// Serves until a signal or `Quit`.
   void Run() { this->server.Run(); }
   StandInServer& Server() { return this->server; }
 
  private:
-  struct Waiting {
+  struct PendingWatch {
     ExchangeId exchange = 0;
-    std::uint64_t after = 0;
+    std::uint64_t afterRevision = 0;
     std::string key;
   };
   struct VmChange {
     Instant visibleAt;
     std::string name;
-    /// Empty text removes the VM.
+    /// Empty if the VM is removed.
     std::string json;
   };
 
@@ -68,8 +70,8 @@
   void ServeWatch(const HttpRequest& aRequest, const std::string& aKey);
   void ServeLease(const HttpRequest& aRequest);
   void ServeVms(const HttpRequest& aRequest);
-  void Answer(ExchangeId aExchange, int aStatus, std::string aJson);
-  void WakeWatchers(const std::string& aKey);
+  void Respond(ExchangeId aExchange, int aStatus, std::string aJson);
+  void NotifyWatchers(const std::string& aKey);
   bool IsWithinLimits(bool aIsWrite);
   bool IsWrite(const HttpRequest& aRequest) const;
 
@@ -79,7 +81,7 @@
   Micros vmListLag;
   PlatformFaults faults;
   PlatformCounts counts;
-  std::vector<Waiting> waiting;
+  std::vector<PendingWatch> pendingWatches;
   std::deque<VmChange> vmChanges;
   std::map<std::string, std::string> vms;
   std::uint64_t vmsRevision = 1;
--- a/StandIns/ServiceMain.cpp
+++ b/StandIns/ServiceMain.cpp
@@ -10,7 +10,7 @@
   std::string name = "service";
   SettingsReader reader("standin-service", "[flags]");
   reader.Address("listen", address, "Address to listen on");
-  reader.Text("name", name, "Name in the answers");
+  reader.Text("name", name, "Service name in the responses");
   ReadOrExit(reader, aCount, aWords);
   standins::ServiceStandIn service(address, name);
   const Result<void> started = service.Start();
--- a/StandIns/ServiceStandIn.cpp
+++ b/StandIns/ServiceStandIn.cpp
@@ -21,20 +21,20 @@
     return;
   }
   if (aRequest.path == "/v1/runs") {
-    HttpResponse answer = JsonResponse(Json(this->runs).dump());
-    this->server.Http().Respond(aRequest.exchange, std::move(answer));
+    HttpResponse response = JsonResponse(Json(this->runs).dump());
+    this->server.Http().Respond(aRequest.exchange, std::move(response));
     return;
   }
   if (this->faults.outage) {
-    HttpResponse answer = JsonResponse("{}");
-    answer.status = 503;
-    this->server.Http().Respond(aRequest.exchange, std::move(answer));
+    HttpResponse response = JsonResponse("{}");
+    response.status = 503;
+    this->server.Http().Respond(aRequest.exchange, std::move(response));
     return;
   }
-  this->open += 1;
-  this->server.After(this->faults.delay, [this, aRequest] {
-    this->open -= 1;
-    this->RunOrder(aRequest);
+  this->openRequests += 1;
+  this->server.RunAfter(this->faults.delay, [this, aRequest] {
+    this->openRequests -= 1;
+    this->RunRequest(aRequest);
   });
 }
 
@@ -43,29 +43,30 @@
   if (json.is_object()) {
     this->faults.delay = Micros{
         1000 * json.value("delay_ms", this->faults.delay.count() / 1000)};
-    this->faults.loseAnswers =
-        json.value("lose_answers", this->faults.loseAnswers);
+    this->faults.lostResponses =
+        json.value("lose_answers", this->faults.lostResponses);
     this->faults.outage = json.value("outage", this->faults.outage);
   }
   this->server.Http().Respond(aRequest.exchange, JsonResponse("{}"));
 }
 
-void ServiceStandIn::RunOrder(const HttpRequest& aRequest) {
+void ServiceStandIn::RunRequest(const HttpRequest& aRequest) {
   const std::string key =
       aRequest.method + " " + aRequest.path + " " + aRequest.body;
   const int count = ++this->runs[key];
-  if (this->faults.loseAnswers > 0) {
-    this->faults.loseAnswers -= 1;
+  if (this->faults.lostResponses > 0) {
+    this->faults.lostResponses -= 1;
     this->server.Http().Abort(aRequest.exchange);
     return;
   }
-  HttpResponse answer = JsonResponse(Json{
+  HttpResponse response = JsonResponse(Json{
       {"service", this->name},
       {"path", aRequest.path},
       {"runs", count},
       {"echo", aRequest.body}}.dump());
-  answer.headers.push_back({"zincstep-load", std::to_string(this->open)});
-  this->server.Http().Respond(aRequest.exchange, std::move(answer));
+  response.headers.push_back(
+      {"zincstep-load", std::to_string(this->openRequests)});
+  this->server.Http().Respond(aRequest.exchange, std::move(response));
 }
 
 }  // namespace zincstep::standins
--- a/StandIns/ServiceStandIn.h
+++ b/StandIns/ServiceStandIn.h
@@ -7,32 +7,37 @@
 
 namespace zincstep::standins {
 
-/// Faults of a stand-in service, set while it runs.
+/// Injected faults of a stand-in service, set at run time.
 struct ServiceFaults {
+  /// Delay added to each request.
   Micros delay{0};
-  /// The next requests are run, and their answers withheld.
-  int loseAnswers = 0;
+  /// Number of upcoming requests that are run without a response.
+  int lostResponses = 0;
+  /// Every request is rejected with status 503, except to the fault and run
+  /// counter endpoints.
   bool outage = false;
 };
 
-/// A plain service that counts how often each order was run.
+/// A simple HTTP service that counts how often each request was run.
 class ServiceStandIn {
  public:
   ServiceStandIn(const std::string& aAddress, std::string aName);
 
+  /// Starts listening.
   Result<void> Start() { return this->server.Start(); }
+  /// Serves until a signal or `Quit`.
   void Run() { this->server.Run(); }
   StandInServer& Server() { return this->server; }
 
  private:
   void Handle(const HttpRequest& aRequest);
   void HandleFaults(const HttpRequest& aRequest);
-  void RunOrder(const HttpRequest& aRequest);
+  void RunRequest(const HttpRequest& aRequest);
 
   std::string name;
   std::map<std::string, int> runs;
   ServiceFaults faults;
-  int open = 0;
+  int openRequests = 0;
   StandInServer server;
 };
 
--- a/StandIns/StandInServer.cpp
+++ b/StandIns/StandInServer.cpp
@@ -24,10 +24,10 @@
 }
 
 StandInServer::StandInServer(const std::string& aAddress, Handler aHandler,
-                             Handler aGoneHandler)
-    : work(asio::make_work_guard(this->loop)),
+                             Handler aDisconnectHandler)
+    : workGuard(asio::make_work_guard(this->loop)),
       handler(std::move(aHandler)),
-      goneHandler(std::move(aGoneHandler)) {
+      disconnectHandler(std::move(aDisconnectHandler)) {
   HttpServerSettings settings;
   SplitAddress(aAddress, settings.address, settings.port);
   settings.maxBodyBytes = 64 << 20;
@@ -43,12 +43,12 @@
 
 void StandInServer::Quit() { this->loop.stop(); }
 
-void StandInServer::After(Micros aDelay, std::function<void()> aStep) {
+void StandInServer::RunAfter(Micros aDelay, std::function<void()> aCallback) {
   auto timer = std::make_shared<asio::steady_timer>(this->loop, aDelay);
   timer->async_wait(
-      [timer, step = std::move(aStep)](const asio::error_code& aError) {
+      [timer, callback = std::move(aCallback)](const asio::error_code& aError) {
         if (!aError) {
-          step();
+          callback();
         }
       });
 }
@@ -59,13 +59,13 @@
 }
 
 void StandInServer::OnCallerDisconnected(ExchangeId aExchange) {
-  if (!this->goneHandler) {
+  if (!this->disconnectHandler) {
     return;
   }
   asio::post(this->loop, [this, aExchange] {
     HttpRequest request;
     request.exchange = aExchange;
-    this->goneHandler(request);
+    this->disconnectHandler(request);
   });
 }
 
