--- a/LoadTool/LoadRun.cpp
+++ b/LoadTool/LoadRun.cpp
@@ -10,22 +10,22 @@
 
 using Json = nlohmann::json;
 
-constexpr Micros kCallTime = 120s;
-constexpr std::uint64_t kDirectRequests = std::uint64_t{1} << 40;
+constexpr Micros kCallTimeout = 120s;
+constexpr std::uint64_t kFirstDirectRequestId = std::uint64_t{1} << 40;
 
-/// Stages from `address/first/last,address/first/last`.
+/// Parses stages from `address/first/last,address/first/last`.
 std::vector<EngineStage> ParseStages(const std::string& aText) {
   std::vector<EngineStage> stages;
   std::size_t start = 0;
   while (start < aText.size()) {
     const std::size_t end = std::min(aText.find(',', start), aText.size());
-    const std::string one = aText.substr(start, end - start);
-    const std::size_t first = one.find('/');
-    const std::size_t last = one.rfind('/');
+    const std::string item = aText.substr(start, end - start);
+    const std::size_t first = item.find('/');
+    const std::size_t last = item.rfind('/');
     EngineStage stage;
-    stage.address = one.substr(0, first);
-    stage.layers.first = std::atoi(one.c_str() + first + 1);
-    stage.layers.last = std::atoi(one.c_str() + last + 1);
+    stage.address = item.substr(0, first);
+    stage.layers.first = std::atoi(item.c_str() + first + 1);
+    stage.layers.last = std::atoi(item.c_str() + last + 1);
     stages.push_back(std::move(stage));
     start = end + 1;
   }
@@ -34,18 +34,18 @@
 
 }  // namespace
 
-void SpanHistogram::Add(double aSeconds) {
+void DurationHistogram::Add(double aSeconds) {
   this->histogram(aSeconds);
   this->count += 1;
 }
 
-double SpanHistogram::Millis(double aShare) const {
-  const double wanted = aShare * static_cast<double>(this->count);
-  double seen = 0;
+double DurationHistogram::PercentileMillis(double aFraction) const {
+  const double target = aFraction * static_cast<double>(this->count);
+  double cumulative = 0;
   for (auto&& bin : boost::histogram::indexed(
            this->histogram, boost::histogram::coverage::all)) {
-    seen += *bin;
-    if (seen >= wanted && wanted > 0) {
+    cumulative += *bin;
+    if (cumulative >= target && target > 0) {
       return 1e3 * bin.bin().upper();
     }
   }
@@ -57,21 +57,21 @@
       random(static_cast<std::uint64_t>(this->settings.seed)),
       http(MakeHttpClient()) {}
 
-int LoadRun::DrawTokens() {
-  const auto most = static_cast<int>(this->settings.mostTokens);
+int LoadRun::SampleTokenCount() {
+  const auto maxTokens = static_cast<int>(this->settings.maxTokens);
   if (this->settings.meanTokens <= 0) {
-    return most;
+    return maxTokens;
   }
-  const double drawn =
+  const double sampled =
       -std::log(1 - this->random.Unit()) * this->settings.meanTokens;
-  return std::clamp(static_cast<int>(drawn), 1, most);
+  return std::clamp(static_cast<int>(sampled), 1, maxTokens);
 }
 
-HttpCall LoadRun::CallFor(std::uint64_t aNumber, int aTokens) {
+HttpCall LoadRun::MakeCall(std::uint64_t aNumber, int aTokens) {
   HttpCall call;
   call.method = "POST";
   call.streamed = true;
-  call.timeout = kCallTime;
+  call.timeout = kCallTimeout;
   std::string prompt = "Order " + std::to_string(aNumber) + ": ";
   prompt.resize(
       std::max<std::size_t>(
@@ -79,13 +79,13 @@
       'x');
   if (!this->settings.direct.empty()) {
     EngineAttempt attempt;
-    attempt.request = kDirectRequests + aNumber;
+    attempt.request = kFirstDirectRequestId + aNumber;
     attempt.attempt = 1;
     attempt.model = this->settings.model;
     attempt.version = "v1";
     attempt.prompt = prompt;
     attempt.maxTokens = aTokens;
-    attempt.timeLeft = kCallTime;
+    attempt.timeLeft = kCallTimeout;
     attempt.stages = ParseStages(this->settings.direct);
     call.url = "http://" + attempt.stages.front().address + "/v1/attempts";
     call.body = WriteAttempt(attempt);
@@ -104,24 +104,26 @@
   return call;
 }
 
-void LoadRun::SendOne(std::uint64_t aNumber) {
-  const int tokens = this->DrawTokens();
+void LoadRun::SendRequest(std::uint64_t aNumber) {
+  const int tokens = this->SampleTokenCount();
   const std::lock_guard<std::mutex> lock(this->mutex);
-  if (this->open.size() >= static_cast<std::size_t>(this->settings.mostOpen)) {
+  if (this->openRequests.size() >=
+      static_cast<std::size_t>(this->settings.maxOpenRequests)) {
     this->notSent += 1;
     return;
   }
-  const CallId id = this->http->Start(this->CallFor(aNumber, tokens), *this);
-  Open& one = this->open[id];
-  one.sent = this->clock.Now();
-  one.last = one.sent;
-  one.wanted = tokens;
+  const CallId id = this->http->Start(this->MakeCall(aNumber, tokens), *this);
+  OpenRequest& request = this->openRequests[id];
+  request.sentAt = this->clock.Now();
+  request.lastTokenAt = request.sentAt;
+  request.expectedTokens = tokens;
   this->sent += 1;
 }
 
-void LoadRun::OnLine(Open& aOpen, std::string_view aLine, Instant aNow) {
+void LoadRun::OnLine(OpenRequest& aRequest, std::string_view aLine,
+                     Instant aNow) {
   if (aLine.starts_with("data: [DONE]")) {
-    aOpen.isWhole = true;
+    aRequest.isComplete = true;
     return;
   }
   const bool isToken =
@@ -130,50 +132,51 @@
   if (!isToken) {
     return;
   }
-  const double span = ToSeconds(aNow - aOpen.last);
-  (aOpen.tokens == 0 ? this->firstToken : this->gap).Add(span);
-  aOpen.last = aNow;
-  aOpen.tokens += 1;
+  const double duration = ToSeconds(aNow - aRequest.lastTokenAt);
+  (aRequest.tokens == 0 ? this->firstToken : this->tokenGap).Add(duration);
+  aRequest.lastTokenAt = aNow;
+  aRequest.tokens += 1;
   this->tokens += 1;
-  // The engines' own stream has no mark at its end.
-  aOpen.isWhole = aOpen.isWhole || (!this->settings.direct.empty() &&
-                                    aOpen.tokens == aOpen.wanted);
+  // The stream of an engine has no end marker, unlike that of a daemon.
+  aRequest.isComplete =
+      aRequest.isComplete || (!this->settings.direct.empty() &&
+                              aRequest.tokens == aRequest.expectedTokens);
 }
 
 void LoadRun::OnCallData(CallId aCall, std::string aPart) {
   const Instant now = this->clock.Now();
   const std::lock_guard<std::mutex> lock(this->mutex);
-  Open& one = this->open.at(aCall);
-  one.partial += aPart;
+  OpenRequest& request = this->openRequests.at(aCall);
+  request.partial += aPart;
   std::size_t start = 0;
-  std::size_t end = one.partial.find('\n');
+  std::size_t end = request.partial.find('\n');
   while (end != std::string::npos) {
-    const std::string_view all = one.partial;
-    this->OnLine(one, all.substr(start, end - start), now);
+    const std::string_view buffered = request.partial;
+    this->OnLine(request, buffered.substr(start, end - start), now);
     start = end + 1;
-    end = one.partial.find('\n', start);
+    end = request.partial.find('\n', start);
   }
-  one.partial.erase(0, start);
+  request.partial.erase(0, start);
 }
 
 void LoadRun::OnCallEnd(CallId aCall, HttpCallResult aResult) {
   const Instant now = this->clock.Now();
   const std::lock_guard<std::mutex> lock(this->mutex);
-  const auto found = this->open.find(aCall);
-  const Open& one = found->second;
+  const auto found = this->openRequests.find(aCall);
+  const OpenRequest& request = found->second;
   this->statuses[aResult.status] += 1;
-  if (one.isWhole && one.tokens == one.wanted) {
-    this->answered += 1;
-    this->whole.Add(ToSeconds(now - one.sent));
+  if (request.isComplete && request.tokens == request.expectedTokens) {
+    this->completed += 1;
+    this->total.Add(ToSeconds(now - request.sentAt));
   } else if (aResult.status == 200 || aResult.status == 0) {
-    this->broken += 1;
+    this->incomplete += 1;
   }
-  this->open.erase(found);
+  this->openRequests.erase(found);
 }
 
 std::size_t LoadRun::OpenCount() {
   const std::lock_guard<std::mutex> lock(this->mutex);
-  return this->open.size();
+  return this->openRequests.size();
 }
 
 std::string LoadRun::Run() {
@@ -182,14 +185,14 @@
   std::uint64_t number = 0;
   const Instant end = start + FromSeconds(this->settings.seconds);
   while (next < end) {
-    // Open loop: the next arrival does not wait for any answer.
+    // Open loop: the next arrival does not wait for any response.
     std::this_thread::sleep_until(next);
-    this->SendOne(number++);
+    this->SendRequest(number++);
     next +=
         FromSeconds(-std::log(1 - this->random.Unit()) / this->settings.rate);
   }
-  const Instant patience = this->clock.Now() + kCallTime;
-  while (this->OpenCount() > 0 && this->clock.Now() < patience) {
+  const Instant deadline = this->clock.Now() + kCallTimeout;
+  while (this->OpenCount() > 0 && this->clock.Now() < deadline) {
     std::this_thread::sleep_for(5ms);
   }
   const double seconds = ToSeconds(this->clock.Now() - start);
@@ -202,24 +205,24 @@
   for (const auto& [status, count] : this->statuses) {
     statuses[std::to_string(status)] = count;
   }
-  const auto spans = [](const SpanHistogram& aHistogram) {
+  const auto toJson = [](const DurationHistogram& aHistogram) {
     return Json{{"count", aHistogram.Count()},
-                {"p50_ms", aHistogram.Millis(0.5)},
-                {"p95_ms", aHistogram.Millis(0.95)},
-                {"p99_ms", aHistogram.Millis(0.99)},
-                {"max_ms", aHistogram.Millis(1)}};
+                {"p50_ms", aHistogram.PercentileMillis(0.5)},
+                {"p95_ms", aHistogram.PercentileMillis(0.95)},
+                {"p99_ms", aHistogram.PercentileMillis(0.99)},
+                {"max_ms", aHistogram.PercentileMillis(1)}};
   };
   return Json{
       {"seconds", aSeconds},
       {"sent", this->sent},
       {"not_sent", this->notSent},
-      {"whole_answers", this->answered},
-      {"broken_answers", this->broken},
+      {"whole_answers", this->completed},
+      {"broken_answers", this->incomplete},
       {"statuses", std::move(statuses)},
       {"tokens_per_second", static_cast<double>(this->tokens) / aSeconds},
-      {"first_token", spans(this->firstToken)},
-      {"token_gap", spans(this->gap)},
-      {"whole", spans(this->whole)}}
+      {"first_token", toJson(this->firstToken)},
+      {"token_gap", toJson(this->tokenGap)},
+      {"whole", toJson(this->total)}}
       .dump();
 }
 
--- a/LoadTool/LoadRun.h
+++ b/LoadTool/LoadRun.h
@@ -12,34 +12,43 @@
 
 namespace zincstep::load {
 
-/// Settings of one run.
+/// Settings of a load run.
 struct LoadSettings {
-  /// Callers' addresses of daemons, taken in turn.
+  /// Addresses of the daemons' caller ports, used round robin.
   std::vector<std::string> targets;
+  /// Bearer key of the organisation.
   std::string key;
   std::string model = "zincstep-orders";
-  /// Arrivals a second, at exponential gaps.
+  /// Mean arrivals per second of a Poisson process.
   double rate = 5;
+  /// Time in which requests are sent, in seconds.
   double seconds = 10;
-  /// Mean length of answers, geometrically distributed; 0 for exactly
-  /// `most` tokens.
+  /// Mean length of the answers in tokens, geometrically distributed; 0 for
+  /// exactly `maxTokens` each.
   double meanTokens = 60;
-  std::int64_t mostTokens = 200;
+  /// Maximum length of an answer, in tokens.
+  std::int64_t maxTokens = 200;
+  /// Length of each prompt, in bytes.
   std::int64_t promptBytes = 200;
+  /// Seed of the random arrivals and lengths.
   std::int64_t seed = 1;
-  /// Requests open at a time; arrivals beyond are counted and not sent.
-  std::int64_t mostOpen = 2000;
-  /// Stages for calls of the engines without a daemon in between, written
-  /// address/first/last and separated by commas; empty goes to daemons.
+  /// Maximum number of open requests; further arrivals are counted as not
+  /// sent.
+  std::int64_t maxOpenRequests = 2000;
+  /// Stages for calls to the engines without a daemon, written as
+  /// address/first/last and separated by commas; empty for calls to daemons.
   std::string direct;
 };
 
-/// Spans in seconds with percentiles, in logarithmic bins of 0.2%.
-class SpanHistogram {
+/// Histogram of durations in seconds, with logarithmic bins of 0.2%.
+class DurationHistogram {
  public:
+  /// Adds a duration.
   void Add(double aSeconds);
-  /// The span that this share of all does not pass, in milliseconds.
-  double Millis(double aShare) const;
+  /// Returns the percentile for `aFraction` (0 to 1) in milliseconds, or 0 if
+  /// the histogram is empty.
+  double PercentileMillis(double aFraction) const;
+  /// Number of durations added.
   std::uint64_t Count() const { return this->count; }
 
  private:
@@ -54,30 +63,33 @@
   std::uint64_t count = 0;
 };
 
-/// Sends requests at their times, however slow the answers are.
+/// Open-loop load generator: sends requests on schedule, independent of the
+/// response times.
 class LoadRun : private HttpCallListener {
  public:
   explicit LoadRun(LoadSettings aSettings);
 
-  /// Runs to the end of all answers and gives the results as JSON.
+  /// Sends all requests, waits for their responses up to a timeout, and
+  /// returns the results as JSON.
   std::string Run();
 
  private:
-  struct Open {
-    Instant sent;
-    Instant last;
+  struct OpenRequest {
+    Instant sentAt;
+    Instant lastTokenAt;
     int tokens = 0;
-    int wanted = 0;
-    bool isWhole = false;
+    int expectedTokens = 0;
+    bool isComplete = false;
+    /// Received bytes after the last complete line.
     std::string partial;
   };
 
-  void SendOne(std::uint64_t aNumber);
-  HttpCall CallFor(std::uint64_t aNumber, int aTokens);
+  void SendRequest(std::uint64_t aNumber);
+  HttpCall MakeCall(std::uint64_t aNumber, int aTokens);
   void OnCallData(CallId aCall, std::string aPart) override;
   void OnCallEnd(CallId aCall, HttpCallResult aResult) override;
-  void OnLine(Open& aOpen, std::string_view aLine, Instant aNow);
-  int DrawTokens();
+  void OnLine(OpenRequest& aRequest, std::string_view aLine, Instant aNow);
+  int SampleTokenCount();
   std::size_t OpenCount();
   std::string Report(double aSeconds);
 
@@ -85,15 +97,15 @@
   SystemClock clock;
   Random random;
   std::mutex mutex;
-  std::map<CallId, Open> open;
-  SpanHistogram firstToken;
-  SpanHistogram gap;
-  SpanHistogram whole;
+  std::map<CallId, OpenRequest> openRequests;
+  DurationHistogram firstToken;
+  DurationHistogram tokenGap;
+  DurationHistogram total;
   std::map<int, int> statuses;
   std::uint64_t sent = 0;
   std::uint64_t notSent = 0;
-  std::uint64_t answered = 0;
-  std::uint64_t broken = 0;
+  std::uint64_t completed = 0;
+  std::uint64_t incomplete = 0;
   std::uint64_t tokens = 0;
   std::unique_ptr<HttpClient> http;
 };
