--- a/LoadTool/Main.cpp
+++ b/LoadTool/Main.cpp
@@ -23,7 +23,7 @@
   reader.Integer("most-open", settings.maxOpenRequests, 1, 100000,
                  "Maximum number of open requests");
   reader.Integer("seed", settings.seed, 0, INT64_MAX,
-               "Seed of the random arrivals and lengths");
+                 "Seed of the random arrivals and lengths");
   reader.Text("direct", settings.direct,
               "Engines to call without a daemon: address/first/last,...");
   zincstep::ReadOrExit(reader, aCount, aWords);
--- a/StandIns/EngineMain.cpp
+++ b/StandIns/EngineMain.cpp
@@ -21,11 +21,11 @@
   reader.Text("model-version", settings.version, "Version of the model");
   reader.Integer("first-layer", first, 0, 4096, "First layer to serve");
   reader.Integer("last-layer", last, 1, 4096,
-               "End of the layer range, exclusive");
+                 "End of the layer range, exclusive");
   reader.Integer("layer-step-us", layerStep, 1, 10000000,
                  "Time per layer of a decode step, in microseconds");
   reader.Integer("slots", slots, 1, 4096,
-               "Maximum number of sequences in a batch");
+                 "Maximum number of sequences in a batch");
   reader.Integer("prefill-layer-ns", prefill, 1, 1000000000,
                  "Prefill time per token and layer, in nanoseconds");
   reader.Flag("checks-fence", settings.checksFence,
