--- a/PerformanceTests/AdmissionBench.cpp
+++ b/PerformanceTests/AdmissionBench.cpp
@@ -11,39 +11,43 @@
 namespace zincstep::bench {
 namespace {
 
-constexpr double kCapacity = 2000;
-constexpr int kWindow = 100;
-constexpr double kOverfill = 1.15;
-constexpr double kTokens = 200;
-constexpr double kPromptSeconds = 0.05;
+constexpr double kTokensPerSecond = 2000;
+constexpr int kWindowSequences = 100;
+/// Requests of organisations under their share start in a window filled up to
+/// this multiple of its size.
+constexpr double kOverfillFactor = 1.15;
+constexpr double kTokensPerRequest = 200;
+constexpr double kPrefillSeconds = 0.05;
 constexpr double kRunSeconds = 200;
 constexpr Micros kDeadline = 20s;
-/// Before it the window fills, in step with the first arrivals.
+/// Excluded from the figures: the window fills in step with the first
+/// arrivals.
 constexpr double kWarmUpSeconds = 20;
+/// End of the warm-up; the clock starts at 1 s.
 constexpr Instant kMeasuredFrom{21s};
 
-/// One organisation's arrivals.
+/// Open-loop arrivals of one organisation.
 struct Source {
   std::string name;
   double weight = 1;
   double requestsPerSecond = 0;
-  /// Seconds after the start at which it begins.
-  double from = 0;
+  /// Start of the arrivals, in seconds from the start of the run.
+  double startSeconds = 0;
 };
 
-/// What came of one organisation's requests.
-struct Served {
+/// Results of one organisation's requests.
+struct OrganisationResult {
   double tokens = 0;
-  std::vector<double> firstToken;
+  std::vector<double> firstTokenSeconds;
   int refused = 0;
   int late = 0;
 };
 
-/// How requests are let in.
+/// Order in which requests are admitted: by fair share or by arrival.
 enum class Policy { Fair, Fifo };
 
-/// A daemon's share of a fleet under open-loop arrivals: a window of
-/// sequences that share a rate of tokens. Time is a fake clock's.
+/// Simulates one daemon's share of a fleet under open-loop arrivals: a
+/// window of sequences that share a token rate. Runs on a fake clock.
 class AdmissionRun {
  public:
   AdmissionRun(std::vector<Source> aSources, Policy aPolicy,
@@ -53,38 +57,40 @@
         random(aSeed),
         queue(FairQueueSettings{}) {}
 
-  std::map<std::string, Served> Run() {
-    constexpr double kStep = 0.002;
-    std::vector<double> next;
+  std::map<std::string, OrganisationResult> Run() {
+    constexpr double kStepSeconds = 0.002;
+    std::vector<double> nextArrivals;
     for (const Source& source : this->sources) {
-      next.push_back(source.from + this->Gap(source));
+      nextArrivals.push_back(source.startSeconds +
+                             this->SampleInterval(source));
     }
-    for (double time = 0; time < kRunSeconds; time += kStep) {
+    for (double time = 0; time < kRunSeconds; time += kStepSeconds) {
       this->now = Instant{FromSeconds(1 + time)};
       for (std::size_t i = 0; i < this->sources.size(); ++i) {
-        for (; next[i] <= time; next[i] += this->Gap(this->sources[i])) {
-          this->Arrive(this->sources[i]);
+        for (; nextArrivals[i] <= time;
+             nextArrivals[i] += this->SampleInterval(this->sources[i])) {
+          this->OnArrival(this->sources[i]);
         }
       }
-      this->Begin();
-      this->Serve(kStep);
+      this->StartQueued();
+      this->GenerateTokens(kStepSeconds);
     }
-    return this->served;
+    return this->results;
   }
 
  private:
-  struct Active {
+  struct SimulatedRequest {
     const Source* source = nullptr;
-    Instant came;
-    Instant begun;
+    Instant arrivedAt;
+    Instant startedAt;
     double tokens = 0;
   };
 
-  double Gap(const Source& aSource) {
+  double SampleInterval(const Source& aSource) {
     return -std::log(1 - this->random.Unit()) / aSource.requestsPerSecond;
   }
 
-  void Arrive(const Source& aSource) {
+  void OnArrival(const Source& aSource) {
     const std::uint64_t id = ++this->lastId;
     this->waiting[id] = {&aSource, this->now, {}, 0};
     if (this->policy == Policy::Fifo) {
@@ -95,25 +101,25 @@
     request.id = id;
     request.organisation = aSource.name;
     request.weight = aSource.weight;
-    request.tokens = kTokens;
-    if (this->active.size() < kOverfill * kWindow &&
+    request.tokens = kTokensPerRequest;
+    if (this->active.size() < kOverfillFactor * kWindowSequences &&
         this->queue.IsUnderShare(aSource.name, aSource.weight)) {
       this->Start(id);
       return;
     }
     request.startBy = this->now + kDeadline;
-    if (!this->queue.Enqueue(request, kCapacity, this->now)) {
+    if (!this->queue.Enqueue(request, kTokensPerSecond, this->now)) {
       this->waiting.erase(id);
-      this->served[aSource.name].refused += 1;
+      this->results[aSource.name].refused += 1;
     }
   }
 
-  void Begin() {
-    for (const QueuedRequest& late : this->queue.PopExpired(this->now)) {
-      this->served[late.organisation].refused += 1;
-      this->waiting.erase(late.id);
+  void StartQueued() {
+    for (const QueuedRequest& expired : this->queue.PopExpired(this->now)) {
+      this->results[expired.organisation].refused += 1;
+      this->waiting.erase(expired.id);
     }
-    while (this->active.size() < kWindow) {
+    while (this->active.size() < kWindowSequences) {
       std::uint64_t id = 0;
       if (this->policy == Policy::Fifo) {
         if (this->fifo.empty()) {
@@ -134,42 +140,47 @@
   }
 
   void Start(std::uint64_t aId) {
-    Active one = this->waiting.at(aId);
+    SimulatedRequest request = this->waiting.at(aId);
     this->waiting.erase(aId);
     if (this->policy == Policy::Fair) {
-      this->queue.OnBegin(one.source->name, one.source->weight, {40, kTokens});
+      this->queue.OnBegin(request.source->name, request.source->weight,
+                          {40, kTokensPerRequest});
     }
-    one.begun = this->now;
-    this->active.push_back(one);
+    request.startedAt = this->now;
+    this->active.push_back(request);
   }
 
-  void Serve(double aStep) {
-    // Each sequence steps at its own pace, up to the fleet's rate.
-    const double pace =
-        kCapacity /
-        std::max<double>(kWindow, static_cast<double>(this->active.size()));
-    for (Active& one : this->active) {
-      const bool first = one.tokens == 0;
-      if (this->now - one.begun < FromSeconds(kPromptSeconds)) {
+  void GenerateTokens(double aStepSeconds) {
+    // A full window shares the fleet's rate; with fewer sequences, each runs
+    // at the rate of one in a full window.
+    const double tokensPerSecond =
+        kTokensPerSecond /
+        std::max<double>(kWindowSequences,
+                         static_cast<double>(this->active.size()));
+    for (SimulatedRequest& request : this->active) {
+      const bool first = request.tokens == 0;
+      if (this->now - request.startedAt < FromSeconds(kPrefillSeconds)) {
         continue;
       }
-      one.tokens += pace * aStep;
-      if (first && one.came >= kMeasuredFrom) {
-        this->served[one.source->name].firstToken.push_back(
-            ToSeconds(this->now - one.came));
+      request.tokens += tokensPerSecond * aStepSeconds;
+      if (first && request.arrivedAt >= kMeasuredFrom) {
+        this->results[request.source->name].firstTokenSeconds.push_back(
+            ToSeconds(this->now - request.arrivedAt));
       }
     }
-    std::erase_if(this->active, [&](const Active& aOne) {
-      const bool done = aOne.tokens >= kTokens;
+    std::erase_if(this->active, [&](const SimulatedRequest& aRequest) {
+      const bool done = aRequest.tokens >= kTokensPerRequest;
       if (done) {
-        Served& served = this->served[aOne.source->name];
-        // Late answers are no goodput: their callers have gone.
-        const bool inTime = this->now - aOne.came <= kDeadline;
+        OrganisationResult& result = this->results[aRequest.source->name];
+        // Responses after the deadline are not goodput: their callers have
+        // disconnected.
+        const bool inTime = this->now - aRequest.arrivedAt <= kDeadline;
         const bool counts = inTime && this->now >= kMeasuredFrom;
-        served.tokens += counts ? kTokens : 0;
-        served.late += inTime ? 0 : 1;
+        result.tokens += counts ? kTokensPerRequest : 0;
+        result.late += inTime ? 0 : 1;
         if (this->policy == Policy::Fair) {
-          this->queue.OnEnd(aOne.source->name, {40, kTokens}, {40, kTokens});
+          this->queue.OnEnd(aRequest.source->name, {40, kTokensPerRequest},
+                            {40, kTokensPerRequest});
         }
       }
       return done;
@@ -181,36 +192,37 @@
   Random random;
   FairQueue queue;
   std::deque<std::uint64_t> fifo;
-  std::map<std::uint64_t, Active> waiting;
-  std::vector<Active> active;
-  std::map<std::string, Served> served;
+  std::map<std::uint64_t, SimulatedRequest> waiting;
+  std::vector<SimulatedRequest> active;
+  std::map<std::string, OrganisationResult> results;
   std::uint64_t lastId = 0;
   Instant now;
 };
 
-double Percentile(std::vector<double> aValues, double aShare) {
+double Percentile(std::vector<double> aValues, double aQuantile) {
   if (aValues.empty()) {
     return 0;
   }
   std::sort(aValues.begin(), aValues.end());
-  const auto at = static_cast<std::size_t>(
-      aShare * static_cast<double>(aValues.size() - 1));
-  return aValues[at];
+  const auto index = static_cast<std::size_t>(
+      aQuantile * static_cast<double>(aValues.size() - 1));
+  return aValues[index];
 }
 
-constexpr double kRequestsAtCapacity = kCapacity / kTokens;
+constexpr double kRequestsPerSecondAtCapacity =
+    kTokensPerSecond / kTokensPerRequest;
 
 double GoodputAt(double aLoad, Policy aPolicy) {
   std::vector<Source> sources;
   for (int i = 0; i < 10; ++i) {
-    sources.push_back(
-        {"org" + std::to_string(i), 1, aLoad * kRequestsAtCapacity / 10});
+    sources.push_back({"org" + std::to_string(i), 1,
+                       aLoad * kRequestsPerSecondAtCapacity / 10});
   }
   double tokens = 0;
-  for (const auto& [name, one] : AdmissionRun(sources, aPolicy, 5).Run()) {
-    tokens += one.tokens;
+  for (const auto& [name, result] : AdmissionRun(sources, aPolicy, 5).Run()) {
+    tokens += result.tokens;
   }
-  return tokens / (kRunSeconds - kWarmUpSeconds) / kCapacity;
+  return tokens / (kRunSeconds - kWarmUpSeconds) / kTokensPerSecond;
 }
 
 void MeasureOverload() {
@@ -232,107 +244,112 @@
 }
 
 void MeasureFlood() {
-  const double quiet = 0.5 * kRequestsAtCapacity / 4;
+  const double quiet = 0.5 * kRequestsPerSecondAtCapacity / 4;
   std::vector<Source> alone;
   for (int i = 0; i < 4; ++i) {
     alone.push_back({"quiet" + std::to_string(i), 1, quiet});
   }
   std::vector<Source> flooded = alone;
-  flooded.push_back({"flood", 1, 10 * kRequestsAtCapacity, 15});
+  flooded.push_back({"flood", 1, 10 * kRequestsPerSecondAtCapacity, 15});
   for (const Policy policy : {Policy::Fair, Policy::Fifo}) {
     const std::string name =
         policy == Policy::Fair ? "zincstep" : "fifo_unbounded";
-    auto without = AdmissionRun(alone, policy, 9).Run();
-    auto with = AdmissionRun(flooded, policy, 9).Run();
+    auto baselineResults = AdmissionRun(alone, policy, 9).Run();
+    auto floodedResults = AdmissionRun(flooded, policy, 9).Run();
     std::vector<double> before;
     std::vector<double> after;
     double share = 0;
     for (const Source& source : alone) {
-      const auto& one = without[source.name].firstToken;
-      const auto& other = with[source.name].firstToken;
-      before.insert(before.end(), one.begin(), one.end());
-      after.insert(after.end(), other.begin(), other.end());
-      share += with[source.name].tokens / without[source.name].tokens / 4;
+      const auto& baseline = baselineResults[source.name].firstTokenSeconds;
+      const auto& flooding = floodedResults[source.name].firstTokenSeconds;
+      before.insert(before.end(), baseline.begin(), baseline.end());
+      after.insert(after.end(), flooding.begin(), flooding.end());
+      share += floodedResults[source.name].tokens /
+               baselineResults[source.name].tokens / 4;
     }
     Print("flood." + name + ".others_first_token_p95_over_alone",
           Percentile(after, 0.95) / Percentile(before, 0.95), "ratio");
     Print("flood." + name + ".others_tokens_over_alone", share, "ratio");
   }
-  // All ask for more than they can have: tokens go by weight.
+  // Each organisation's demand exceeds the capacity, so tokens are divided by
+  // weight.
   std::vector<Source> weighted;
   double weights = 0;
   for (const double weight : {1.0, 2.0, 4.0}) {
     weighted.push_back({"w" + std::to_string(static_cast<int>(weight)), weight,
-                        3 * kRequestsAtCapacity});
+                        3 * kRequestsPerSecondAtCapacity});
     weights += weight;
   }
-  auto served = AdmissionRun(weighted, Policy::Fair, 3).Run();
-  double all = 0;
+  auto results = AdmissionRun(weighted, Policy::Fair, 3).Run();
+  double totalTokens = 0;
   for (const Source& source : weighted) {
-    all += served[source.name].tokens;
+    totalTokens += results[source.name].tokens;
   }
-  double worst = 0;
+  double maxError = 0;
   for (const Source& source : weighted) {
-    const double share = served[source.name].tokens / all;
+    const double share = results[source.name].tokens / totalTokens;
     const double fair = source.weight / weights;
-    worst = std::max(worst, std::abs(share / fair - 1));
+    maxError = std::max(maxError, std::abs(share / fair - 1));
   }
-  Print("fairness.largest_error_of_share_by_weight", worst, "of share");
+  Print("fairness.largest_error_of_share_by_weight", maxError, "of share");
 }
 
-/// Attempts per request and the time to settle after an outage of 10 s.
+/// Measures attempts per request and the time to recover after a 10 s outage.
 void MeasureRetryStorm() {
-  for (const bool budgeted : {true, false}) {
+  for (const bool hasBudget : {true, false}) {
     RetryBudget budget({});
     Random random(4);
-    std::priority_queue<double, std::vector<double>, std::greater<>> tries;
-    constexpr double kRate = 500;
-    constexpr double kEnd = 30;
-    constexpr double kServiceLimit = 1.2 * kRate;
-    for (double at = 0; at < kEnd; at += 1 / kRate) {
-      tries.push(at);
+    std::priority_queue<double, std::vector<double>, std::greater<>>
+        attemptTimes;
+    constexpr double kRequestsPerSecond = 500;
+    constexpr double kEndSeconds = 30;
+    constexpr double kMaxServedPerSecond = 1.2 * kRequestsPerSecond;
+    for (double time = 0; time < kEndSeconds; time += 1 / kRequestsPerSecond) {
+      attemptTimes.push(time);
     }
-    const double requests = static_cast<double>(tries.size());
+    const double requests = static_cast<double>(attemptTimes.size());
     double attempts = 0;
-    double settled = 20;
+    double recoveredAt = 20;
     double tokens = 0;
     double last = 0;
-    while (!tries.empty()) {
-      const double at = tries.top();
-      tries.pop();
-      if (at >= kEnd) {
+    while (!attemptTimes.empty()) {
+      const double time = attemptTimes.top();
+      attemptTimes.pop();
+      if (time >= kEndSeconds) {
         break;
       }
       attempts += 1;
       budget.OnRequest();
-      tokens =
-          std::min(kServiceLimit / 10, tokens + (at - last) * kServiceLimit);
-      last = at;
-      const bool outage = at >= 10 && at < 20;
+      tokens = std::min(kMaxServedPerSecond / 10,
+                        tokens + (time - last) * kMaxServedPerSecond);
+      last = time;
+      const bool outage = time >= 10 && time < 20;
       const bool refused = outage || tokens < 1;
       tokens -= refused ? 0 : 1;
       if (!refused) {
         continue;
       }
-      settled = std::max(settled, at);
-      if (!budgeted) {
-        tries.push(at + 0.1);
+      recoveredAt = std::max(recoveredAt, time);
+      if (!hasBudget) {
+        attemptTimes.push(time + 0.1);
       } else if (budget.TryAcquireRetry()) {
-        tries.push(at + ToSeconds(budget.Backoff(1, random)));
+        attemptTimes.push(time + ToSeconds(budget.Backoff(1, random)));
       }
     }
-    const std::string name = budgeted ? "zincstep" : "retry_always";
+    const std::string name = hasBudget ? "zincstep" : "retry_always";
     Print("retry_storm." + name + ".attempts_over_requests",
           attempts / requests, "ratio");
-    Print("retry_storm." + name + ".settled_after_outage", settled - 20, "s");
+    Print("retry_storm." + name + ".settled_after_outage", recoveredAt - 20,
+          "s");
   }
 }
 
-/// How far daemons together pass a domain's limit, heard and cut off.
+/// Measures by how much the daemons together exceed a domain's limit, with and
+/// without reports from their peers.
 void MeasureDomainLimit() {
   constexpr int kDaemons = 14;
-  constexpr double kLimit = 1000;
-  for (const bool hears : {true, false}) {
+  constexpr double kLimitTokensPerSecond = 1000;
+  for (const bool hasPeerReports : {true, false}) {
     std::vector<DomainLimit> limits(kDaemons, DomainLimit({}));
     Instant now{10s};
     std::vector<std::vector<std::string>> peers(kDaemons);
@@ -350,19 +367,19 @@
     constexpr int kSeconds = 30;
     for (int tick = 0; tick < kSeconds * 100; ++tick) {
       now += 10ms;
-      // The balancer moves: three daemons have most of the traffic, and
-      // each second others.
+      // The load balancer sends most of the traffic to three daemons, and to
+      // different ones each second.
       const int second = tick / 100;
       for (int i = 0; i < kDaemons; ++i) {
         const bool busy = (i + second) % kDaemons < 3;
-        DomainLimit& one = limits[static_cast<std::size_t>(i)];
+        DomainLimit& limit = limits[static_cast<std::size_t>(i)];
         if (random.Unit() < (busy ? 0.9 : 0.05) &&
-            one.Admit("org", kLimit, 20, now)) {
-          one.Charge("org", 20, now);
+            limit.Admit("org", kLimitTokensPerSecond, 20, now)) {
+          limit.Charge("org", 20, now);
           charged += second >= 5 ? 20 : 0;
         }
       }
-      if (hears && tick % 100 == 0) {
+      if (hasPeerReports && tick % 100 == 0) {
         for (int i = 0; i < kDaemons; ++i) {
           const auto demands = limits[static_cast<std::size_t>(i)].Demands(now);
           for (int other = 0; other < kDaemons; ++other) {
@@ -375,8 +392,8 @@
       }
     }
     Print(std::string("domain_limit.served_over_limit.") +
-              (hears ? "peers_heard" : "peers_silent"),
-          charged / (kSeconds - 5) / kLimit, "ratio");
+              (hasPeerReports ? "peers_heard" : "peers_silent"),
+          charged / (kSeconds - 5) / kLimitTokensPerSecond, "ratio");
   }
 }
 
--- a/PerformanceTests/FakeFleet.h
+++ b/PerformanceTests/FakeFleet.h
@@ -10,7 +10,7 @@
 
 namespace zincstep::bench {
 
-/// Shape of a made-up fleet.
+/// Size of a synthetic fleet and the seed of its layout.
 struct FleetShape {
   int replicas = 68;
   int layers = 32;
@@ -18,29 +18,31 @@
   std::uint64_t seed = 1;
 };
 
-/// A fleet of 3 kinds (steps 1:3:10) with overlapping ranges, on links
-/// whose latency and bandwidth differ a hundredfold.
+/// Builds a fleet of 3 accelerator kinds (step times 1:3:10) with overlapping
+/// layer ranges, on links whose latency and bandwidth differ by a factor of
+/// 100.
 Fleet MakeBenchFleet(const FleetShape& aShape);
 
-/// Chooses chains; one object stands for all deciders of a run.
+/// Chooses chains; one object acts for all deciders (daemons) of a run.
 class ChainPolicy {
  public:
   virtual ~ChainPolicy() = default;
 
-  /// Name in the results.
+  /// Returns the name used in the printed figures.
   virtual std::string Name() const = 0;
-  /// A chain for a new sequence of one decider.
+  /// Returns the chain for a new sequence of one decider.
   virtual Chain Choose(int aDecider, Instant aNow) = 0;
-  /// A sequence has ended.
+  /// Called when a sequence ends.
   virtual void OnEnd(int aDecider, const Chain& aChain) = 0;
-  /// Reports of all upstreams' sequences reach the deciders.
+  /// Called when the upstreams' reports reach the deciders: the active
+  /// sequences of each replica.
   virtual void OnReports(const std::vector<int>& aSequences, Instant aNow) = 0;
 };
 
-/// Figures of one run.
+/// Results of one run.
 struct RunResult {
   double tokensPerSecond = 0;
-  /// Time-averaged sequences of each replica.
+  /// Time-averaged number of active sequences of each replica.
   std::vector<double> meanSequences;
 };
 
@@ -51,16 +53,16 @@
   int tokensPerSequence = 210;
   double warmUpSeconds = 20;
   double measuredSeconds = 20;
-  double reportLagSeconds = 1;
+  /// Interval between reports of the upstreams' active sequences.
+  double reportIntervalSeconds = 1;
   std::uint64_t seed = 1;
 };
 
-/// Runs sequences in a closed loop over queues that stand for upstreams.
+/// Runs sequences in a closed loop over queues that simulate the upstreams.
 ///
-/// An upstream serves as many steps at a time as it has slots, each for
-/// its layers' time; a link between domains serves tokens one after the
-/// other at its bandwidth. Events are taken in the order of a fake clock,
-/// so that a run repeats exactly.
+/// An upstream serves up to `slots` steps in parallel, each for the time of its
+/// layers; a link between domains sends tokens one by one at its bandwidth.
+/// Events are processed in the order of a fake clock, so runs are reproducible.
 RunResult RunFleet(const Fleet& aFleet, ChainPolicy& aPolicy,
                    const RunSettings& aSettings);
 
--- a/PerformanceTests/MemoryBench.cpp
+++ b/PerformanceTests/MemoryBench.cpp
@@ -11,12 +11,14 @@
 namespace zincstep::bench {
 namespace {
 
+/// Returns the bytes allocated from the heap and by mmap.
 double HeapBytes() {
   const struct mallinfo2 info = mallinfo2();
   return static_cast<double>(info.uordblks + info.hblkhd);
 }
 
-class NoRepairs final : public ChainRepairer {
+/// Returns the chain unchanged.
+class NoOpRepairer final : public ChainRepairer {
  public:
   Result<Chain> Repair(const Chain& aChain, const std::vector<bool>&, Instant,
                        bool) override {
@@ -43,18 +45,18 @@
 }
 
 void MeasureStreams() {
-  NoRepairs repairs;
+  NoOpRepairer repairer;
   Chain chain;
   for (int i = 0; i < 4; ++i) {
     chain.hops.push_back({i, {8 * i, 8 * i + 8}});
   }
   for (const int streams : {100, 400, 1600, 6400}) {
     const double before = HeapBytes();
-    std::vector<std::unique_ptr<StreamMachine>> open;
+    std::vector<std::unique_ptr<StreamMachine>> machines;
     for (int i = 0; i < streams; ++i) {
-      open.push_back(std::make_unique<StreamMachine>(
-          std::uint64_t(i), 32, StreamSettings{}, repairs));
-      (void)open.back()->Start(chain, Instant{1s});
+      machines.push_back(std::make_unique<StreamMachine>(
+          std::uint64_t(i), 32, StreamSettings{}, repairer));
+      (void)machines.back()->Start(chain, Instant{1s});
       for (int token = 0; token < 210; ++token) {
         TokenEvent event;
         event.request = std::uint64_t(i);
@@ -63,7 +65,7 @@
         for (const ChainHop& hop : chain.hops) {
           event.stages.push_back({hop.layers, 0us, 1000us, 100us});
         }
-        (void)open.back()->OnToken(event, Instant{1s + token * 20ms});
+        (void)machines.back()->OnToken(event, Instant{1s + token * 20ms});
       }
     }
     Print("memory.stream_machine." + std::to_string(streams),
--- a/PerformanceTests/PlacementBench.cpp
+++ b/PerformanceTests/PlacementBench.cpp
@@ -10,11 +10,12 @@
 namespace zincstep::bench {
 namespace {
 
-/// A pool of unequal accelerators.
+/// Size of a pool of mixed accelerators.
 struct PoolShape {
   int upstreams = 0;
   int domains = 0;
-  /// Kinds, the largest first; small ones are many.
+  /// Number of accelerator kinds, in the order of `BenchModel`: the first, with
+  /// much memory, is rare; the small ones are common.
   int kinds = 0;
 
   std::string Name() const {
@@ -27,10 +28,11 @@
 constexpr PoolShape kPools[] = {{40, 3, 4},    {90, 3, 3},    {216, 5, 3},
                                 {1000, 3, 3},  {1000, 25, 6}, {3000, 3, 3},
                                 {3000, 25, 6}, {3000, 3, 1}};
-/// Demand of a domain, as a share of what one copy leaves memory for.
+/// Demand as a share of the tokens that fit into the memory beside one
+/// copy of the model per domain.
 constexpr double kDemandShare = 0.33;
-/// Looks and moves after a loss are counted up to so many.
-constexpr int kMostRounds = 200;
+/// Maximum planning rounds after a loss.
+constexpr int kMaxRounds = 200;
 
 ModelShape BenchModel(int aKinds) {
   ModelShape model;
@@ -50,18 +52,19 @@
   return model;
 }
 
-/// One of a hundred upstreams' kinds in a pool of so many kinds.
-int KindOf(int aNumber, int aKinds) {
-  constexpr int kShareOfLargest = 10;
-  constexpr int kShareOfSecond = 35;
-  const int part = aNumber % 100;
-  if (aKinds == 1 || part < kShareOfLargest) {
+/// Returns the index of an upstream's kind in a pool of `aKinds` kinds. Of each
+/// 100 upstreams, 10 are of the first kind and 35 of the second.
+int SelectKind(int aNumber, int aKinds) {
+  constexpr int kFirstKindPercent = 10;
+  constexpr int kSecondKindPercent = 35;
+  const int percentile = aNumber % 100;
+  if (aKinds == 1 || percentile < kFirstKindPercent) {
     return 0;
   }
-  if (aKinds == 2 || part < kShareOfLargest + kShareOfSecond) {
+  if (aKinds == 2 || percentile < kFirstKindPercent + kSecondKindPercent) {
     return 1;
   }
-  return 2 + part % (aKinds - 2);
+  return 2 + percentile % (aKinds - 2);
 }
 
 std::vector<PlacedUpstream> MakePool(const PoolShape& aShape,
@@ -69,126 +72,130 @@
   std::vector<PlacedUpstream> pool;
   for (int i = 0; i < aShape.upstreams; ++i) {
     const int number = i / aShape.domains * 37;
-    PlacedUpstream one;
-    one.id = "i" + std::to_string(i);
-    one.failureDomain = "d" + std::to_string(i % aShape.domains);
-    one.kind =
-        aModel.kinds[static_cast<std::size_t>(KindOf(number, aShape.kinds))]
+    PlacedUpstream upstream;
+    upstream.id = "i" + std::to_string(i);
+    upstream.failureDomain = "d" + std::to_string(i % aShape.domains);
+    upstream.kind =
+        aModel.kinds[static_cast<std::size_t>(SelectKind(number, aShape.kinds))]
             .name;
-    pool.push_back(std::move(one));
+    pool.push_back(std::move(upstream));
   }
   return pool;
 }
 
-void Carry(std::vector<PlacedUpstream>& aPool,
-           const std::vector<PlacementOrder>& aOrders) {
+/// Applies the orders to the pool.
+void ApplyOrders(std::vector<PlacedUpstream>& aPool,
+                 const std::vector<PlacementOrder>& aOrders) {
   std::map<std::string, LayerRange> ordered;
   for (const PlacementOrder& order : aOrders) {
     ordered[order.id] = order.layers;
   }
-  for (PlacedUpstream& one : aPool) {
-    const auto found = ordered.find(one.id);
+  for (PlacedUpstream& upstream : aPool) {
+    const auto found = ordered.find(upstream.id);
     if (found != ordered.end()) {
-      one.layers = found->second;
+      upstream.layers = found->second;
     }
   }
 }
 
-double MillisOf(const std::function<void()>& aRun) {
-  const auto began = std::chrono::steady_clock::now();
+double MeasureMillis(const std::function<void()>& aRun) {
+  const auto start = std::chrono::steady_clock::now();
   aRun();
   return std::chrono::duration<double, std::milli>(
-             std::chrono::steady_clock::now() - began)
+             std::chrono::steady_clock::now() - start)
       .count();
 }
 
-std::map<std::string, std::vector<PlacedUpstream>> ByDomain(
+std::map<std::string, std::vector<PlacedUpstream>> GroupByDomain(
     const std::vector<PlacedUpstream>& aPool) {
   std::map<std::string, std::vector<PlacedUpstream>> domains;
-  for (const PlacedUpstream& one : aPool) {
-    domains[one.failureDomain].push_back(one);
+  for (const PlacedUpstream& upstream : aPool) {
+    domains[upstream.failureDomain].push_back(upstream);
   }
   return domains;
 }
 
-/// Tokens that the whole pool has memory for beside one copy a domain.
-double RoomOf(const ModelShape& aModel,
-              const std::vector<PlacedUpstream>& aPool) {
+/// Returns how many tokens fit into the pool's memory beside one copy of
+/// the model per domain.
+double ComputeFreeTokens(const ModelShape& aModel,
+                         const std::vector<PlacedUpstream>& aPool) {
   double memory = 0;
-  for (const PlacedUpstream& one : aPool) {
-    memory += aModel.FindKind(one.kind)->memoryMb;
+  for (const PlacedUpstream& upstream : aPool) {
+    memory += aModel.FindKind(upstream.kind)->memoryMb;
   }
-  const auto copies = static_cast<double>(ByDomain(aPool).size());
+  const auto copies = static_cast<double>(GroupByDomain(aPool).size());
   return (memory - copies * aModel.layers * aModel.layerMb) / aModel.tokenMb;
 }
 
-/// The mean worth of the domains' layouts, and how many layers lack a holder.
-LayoutScore ScoreOf(const ModelShape& aModel,
-                    const std::vector<PlacedUpstream>& aPool, double aDemand) {
+/// Returns the mean score of the domains' layouts and the number of layers that
+/// no upstream holds.
+LayoutScore ComputeScore(const ModelShape& aModel,
+                         const std::vector<PlacedUpstream>& aPool,
+                         double aDemand) {
   const LayoutScoreSettings settings;
-  LayoutScore all;
-  const auto domains = ByDomain(aPool);
+  LayoutScore mean;
+  const auto domains = GroupByDomain(aPool);
   const auto count = static_cast<double>(domains.size());
   for (const auto& [domain, upstreams] : domains) {
-    const LayoutScore one =
+    const LayoutScore score =
         DomainLayout(aModel, settings, aDemand / count, upstreams).Score();
-    all.gaps += one.gaps;
-    all.value += one.value / count;
+    mean.gaps += score.gaps;
+    mean.value += score.value / count;
   }
-  return all;
+  return mean;
 }
 
-PlacementInput SituationOf(const std::vector<PlacedUpstream>& aPool,
-                           double aDemand) {
-  PlacementInput situation;
-  situation.upstreams = aPool;
-  situation.demand = ObservedDemand{aDemand, 0};
-  for (const auto& [domain, upstreams] : ByDomain(aPool)) {
-    situation.stableDomains.insert(domain);
+PlacementInput MakeInput(const std::vector<PlacedUpstream>& aPool,
+                         double aDemand) {
+  PlacementInput input;
+  input.upstreams = aPool;
+  input.demand = ObservedDemand{aDemand, 0};
+  for (const auto& [domain, upstreams] : GroupByDomain(aPool)) {
+    input.stableDomains.insert(domain);
   }
-  return situation;
+  return input;
 }
 
 void Measure(const PoolShape& aShape) {
   const ModelShape model = BenchModel(aShape.kinds);
   const PlacementPlanner planner{PlacementSettings{}};
   std::vector<PlacedUpstream> pool = MakePool(aShape, model);
-  const double demand = kDemandShare * RoomOf(model, pool);
+  const double demand = kDemandShare * ComputeFreeTokens(model, pool);
   const std::string suffix = "." + aShape.Name();
 
   std::vector<PlacementOrder> orders;
   const PlacementInput empty{pool, std::nullopt, {}, std::nullopt};
   Print("placement.first_layout" + suffix,
-        MillisOf([&] { orders = planner.Plan(model, empty); }), "ms");
-  Carry(pool, orders);
-  const LayoutScore first = ScoreOf(model, pool, demand);
+        MeasureMillis([&] { orders = planner.Plan(model, empty); }), "ms");
+  ApplyOrders(pool, orders);
+  const LayoutScore first = ComputeScore(model, pool, demand);
   Print("placement.gaps" + suffix, first.gaps, "layers");
   Print("placement.worth" + suffix, first.value, "share");
 
-  PlacementInput look = SituationOf(pool, demand);
-  look.domainToImprove = "d0";
+  PlacementInput input = MakeInput(pool, demand);
+  input.domainToImprove = "d0";
   Print("placement.look_of_one_domain" + suffix,
-        MillisOf([&] { orders = planner.Plan(model, look); }), "ms");
+        MeasureMillis([&] { orders = planner.Plan(model, input); }), "ms");
 
-  // Each tenth is lost; what is left is brought to rest.
-  std::vector<PlacedUpstream> rest;
+  // One upstream in ten is lost; the planner runs until it has no more orders.
+  std::vector<PlacedUpstream> remaining;
   for (std::size_t i = 0; i < pool.size(); ++i) {
     if (i % 10 != 7) {
-      rest.push_back(pool[i]);
+      remaining.push_back(pool[i]);
     }
   }
   int moves = 0;
   double millis = 0;
-  for (int round = 0; round < kMostRounds; ++round) {
-    millis += MillisOf(
-        [&] { orders = planner.Plan(model, SituationOf(rest, demand)); });
+  for (int round = 0; round < kMaxRounds; ++round) {
+    millis += MeasureMillis(
+        [&] { orders = planner.Plan(model, MakeInput(remaining, demand)); });
     moves += static_cast<int>(orders.size());
     if (orders.empty()) {
       break;
     }
-    Carry(rest, orders);
+    ApplyOrders(remaining, orders);
   }
-  const LayoutScore after = ScoreOf(model, rest, demand);
+  const LayoutScore after = ComputeScore(model, remaining, demand);
   Print("placement.moves_after_a_tenth_is_lost" + suffix, moves, "orders");
   Print("placement.millis_after_a_tenth_is_lost" + suffix, millis, "ms");
   Print("placement.worth_after_a_tenth_is_lost" + suffix, after.value, "share");
@@ -197,11 +204,12 @@
 }  // namespace
 }  // namespace zincstep::bench
 
-/// Times plans of unequal pools, up to as many upstreams as the argument says.
-int main(int aCount, char** aValues) {
-  const int most = aCount > 1 ? std::atoi(aValues[1]) : 3000;
+/// Measures plans of mixed pools. The optional argument is the maximum number
+/// of upstreams of a pool.
+int main(int aArgumentCount, char** aArguments) {
+  const int maxUpstreams = aArgumentCount > 1 ? std::atoi(aArguments[1]) : 3000;
   for (const auto& pool : zincstep::bench::kPools) {
-    if (pool.upstreams <= most) {
+    if (pool.upstreams <= maxUpstreams) {
       zincstep::bench::Measure(pool);
     }
   }
--- a/PerformanceTests/Policies.cpp
+++ b/PerformanceTests/Policies.cpp
@@ -6,6 +6,7 @@
 
 namespace {
 
+/// Chooses chains with one `ChainPlanner` per decider.
 class PlannerPolicy final : public ChainPolicy {
  public:
   PlannerPolicy(const Fleet& aFleet, int aDeciders, const FlowPlan& aPlan)
@@ -21,16 +22,16 @@
   std::string Name() const override { return "zincstep"; }
 
   Chain Choose(int aDecider, Instant aNow) override {
-    ChainPlanner& planner = this->Of(aDecider);
-    ChainChoiceInput facts;
-    facts.now = aNow;
-    const Chain chain = planner.Choose(facts, this->random)->chain;
+    ChainPlanner& planner = this->PlannerOf(aDecider);
+    ChainChoiceInput input;
+    input.now = aNow;
+    const Chain chain = planner.Choose(input, this->random)->chain;
     planner.OnStart(chain);
     return chain;
   }
 
   void OnEnd(int aDecider, const Chain& aChain) override {
-    this->Of(aDecider).OnEnd(aChain);
+    this->PlannerOf(aDecider).OnEnd(aChain);
   }
 
   void OnReports(const std::vector<int>& aSequences, Instant aNow) override {
@@ -42,7 +43,7 @@
   }
 
  private:
-  ChainPlanner& Of(int aDecider) {
+  ChainPlanner& PlannerOf(int aDecider) {
     return *this->planners[static_cast<std::size_t>(aDecider)];
   }
 
@@ -50,22 +51,22 @@
   Random random;
 };
 
-/// Goes from boundary to boundary; a picker takes one of those that hold
-/// the next layer, and its whole rest is run there.
-class WalkPolicy final : public ChainPolicy {
+/// Builds a chain stage by stage: a picker selects one of the replicas
+/// that hold the next layer, which then runs all its layers from there on.
+class StagewisePolicy final : public ChainPolicy {
  public:
-  using Picker = std::function<int(WalkPolicy&, int aDecider,
+  using Picker = std::function<int(StagewisePolicy&, int aDecider,
                                    const std::vector<int>& aHolders)>;
 
-  WalkPolicy(std::string aName, const Fleet& aFleet, int aDeciders,
-             Picker aPicker)
+  StagewisePolicy(std::string aName, const Fleet& aFleet, int aDeciders,
+                  Picker aPicker)
       : name(std::move(aName)),
         fleet(aFleet),
         picker(std::move(aPicker)),
         random(11),
         turns(static_cast<std::size_t>(aDeciders * aFleet.layers), 0),
-        own(static_cast<std::size_t>(aDeciders),
-            std::vector<int>(aFleet.replicas.size(), 0)) {}
+        localSequences(static_cast<std::size_t>(aDeciders),
+                       std::vector<int>(aFleet.replicas.size(), 0)) {}
 
   std::string Name() const override { return this->name; }
 
@@ -80,27 +81,27 @@
           holders.push_back(static_cast<int>(i));
         }
       }
-      const int picked = this->picker(*this, aDecider, holders);
+      const int replica = this->picker(*this, aDecider, holders);
       const int last =
-          this->fleet.replicas[static_cast<std::size_t>(picked)].layers.last;
-      chain.hops.push_back({picked, {layer, last}});
+          this->fleet.replicas[static_cast<std::size_t>(replica)].layers.last;
+      chain.hops.push_back({replica, {layer, last}});
       layer = last;
-      this->Own(aDecider, picked) += 1;
+      this->LocalSequences(aDecider, replica) += 1;
     }
     return chain;
   }
 
   void OnEnd(int aDecider, const Chain& aChain) override {
     for (const ChainHop& hop : aChain.hops) {
-      this->Own(aDecider, hop.replica) -= 1;
+      this->LocalSequences(aDecider, hop.replica) -= 1;
     }
   }
 
   void OnReports(const std::vector<int>&, Instant) override {}
 
-  int& Own(int aDecider, int aReplica) {
-    return this->own[static_cast<std::size_t>(aDecider)]
-                    [static_cast<std::size_t>(aReplica)];
+  int& LocalSequences(int aDecider, int aReplica) {
+    return this->localSequences[static_cast<std::size_t>(aDecider)]
+                               [static_cast<std::size_t>(aReplica)];
   }
   std::size_t NextTurn(int aDecider, std::size_t aCount) {
     return this->turns[static_cast<std::size_t>(aDecider)]++ % aCount;
@@ -116,7 +117,7 @@
   Picker picker;
   Random random;
   std::vector<std::size_t> turns;
-  std::vector<std::vector<int>> own;
+  std::vector<std::vector<int>> localSequences;
 };
 
 }  // namespace
@@ -129,32 +130,36 @@
 
 std::unique_ptr<ChainPolicy> MakeRoundRobinPolicy(const Fleet& aFleet,
                                                   int aDeciders) {
-  return std::make_unique<WalkPolicy>(
+  return std::make_unique<StagewisePolicy>(
       "round_robin", aFleet, aDeciders,
-      [](WalkPolicy& aSelf, int aDecider, const std::vector<int>& aHolders) {
+      [](StagewisePolicy& aSelf, int aDecider,
+         const std::vector<int>& aHolders) {
         return aHolders[aSelf.NextTurn(aDecider, aHolders.size())];
       });
 }
 
 std::unique_ptr<ChainPolicy> MakeRandomPolicy(const Fleet& aFleet,
                                               int aDeciders) {
-  return std::make_unique<WalkPolicy>(
+  return std::make_unique<StagewisePolicy>(
       "random", aFleet, aDeciders,
-      [](WalkPolicy& aSelf, int, const std::vector<int>& aHolders) {
+      [](StagewisePolicy& aSelf, int, const std::vector<int>& aHolders) {
         return aHolders[aSelf.GetRandom().Below(aHolders.size())];
       });
 }
 
-std::unique_ptr<ChainPolicy> MakeLeastPolicy(const Fleet& aFleet,
-                                             int aDeciders) {
-  return std::make_unique<WalkPolicy>(
+std::unique_ptr<ChainPolicy> MakeLeastOutstandingPolicy(const Fleet& aFleet,
+                                                        int aDeciders) {
+  return std::make_unique<StagewisePolicy>(
       "least_outstanding", aFleet, aDeciders,
-      [](WalkPolicy& aSelf, int aDecider, const std::vector<int>& aHolders) {
+      [](StagewisePolicy& aSelf, int aDecider,
+         const std::vector<int>& aHolders) {
         int best = aHolders.front();
-        for (const int one : aHolders) {
-          const double load = aSelf.Own(aDecider, one) / aSelf.Slots(one);
-          const double least = aSelf.Own(aDecider, best) / aSelf.Slots(best);
-          best = load < least ? one : best;
+        for (const int candidate : aHolders) {
+          const double load = aSelf.LocalSequences(aDecider, candidate) /
+                              aSelf.Slots(candidate);
+          const double minLoad =
+              aSelf.LocalSequences(aDecider, best) / aSelf.Slots(best);
+          best = load < minLoad ? candidate : best;
         }
         return best;
       });
--- a/PerformanceTests/RoutingBench.cpp
+++ b/PerformanceTests/RoutingBench.cpp
@@ -12,12 +12,12 @@
 
 using Seconds = std::chrono::duration<double>;
 
-FlowPlan PlanOf(const Fleet& aFleet) {
+FlowPlan MakePlan(const Fleet& aFleet) {
   return ComputeFlowPlan(aFleet,
                          std::vector<double>(aFleet.replicas.size(), 1.0));
 }
 
-double WindowOf(const FlowPlan& aPlan) {
+double SumWindows(const FlowPlan& aPlan) {
   double window = 0;
   for (const FlowPath& path : aPlan.paths) {
     window += path.window;
@@ -30,16 +30,16 @@
     FleetShape shape;
     shape.seed = seed;
     const Fleet fleet = MakeBenchFleet(shape);
-    const FlowPlan plan = PlanOf(fleet);
+    const FlowPlan plan = MakePlan(fleet);
     const std::string suffix = ".seed" + std::to_string(seed);
     Print("plan.flow_over_upper_bound" + suffix,
           plan.tokensPerSecond / plan.upperBound, "ratio");
     Print("plan.upper_bound" + suffix, plan.upperBound, "tokens/s");
     RunSettings settings;
-    settings.sequences = static_cast<int>(1.5 * WindowOf(plan));
+    settings.sequences = static_cast<int>(1.5 * SumWindows(plan));
     std::vector<std::unique_ptr<ChainPolicy>> policies;
     policies.push_back(MakePlannerPolicy(fleet, kDeciders, plan));
-    policies.push_back(MakeLeastPolicy(fleet, kDeciders));
+    policies.push_back(MakeLeastOutstandingPolicy(fleet, kDeciders));
     policies.push_back(MakeRoundRobinPolicy(fleet, kDeciders));
     policies.push_back(MakeRandomPolicy(fleet, kDeciders));
     for (const auto& policy : policies) {
@@ -50,29 +50,30 @@
   }
 }
 
-/// The busiest upstream against its fair share. Fair is by the plan's
-/// windows, within each group of equal upstreams.
+/// Measures the load of the busiest upstream over its fair share: the mean of
+/// its group of equal upstreams. The plan's windows divide the load among the
+/// groups.
 void MeasureHerd() {
   const Fleet fleet = MakeBenchFleet({});
-  const FlowPlan plan = PlanOf(fleet);
+  const FlowPlan plan = MakePlan(fleet);
   RunSettings settings;
-  settings.sequences = static_cast<int>(0.8 * WindowOf(plan));
+  settings.sequences = static_cast<int>(0.8 * SumWindows(plan));
   const auto policy = MakePlannerPolicy(fleet, kDeciders, plan);
   const RunResult result = RunFleet(fleet, *policy, settings);
   double worst = 0;
   for (const FlowGroup& group : plan.groups) {
-    double all = 0;
-    double most = 0;
+    double total = 0;
+    double maxMean = 0;
     for (const int member : group.members) {
       const double mean =
           result.meanSequences[static_cast<std::size_t>(member)];
-      all += mean;
-      most = std::max(most, mean);
+      total += mean;
+      maxMean = std::max(maxMean, mean);
     }
-    const double fair = all / static_cast<double>(group.members.size());
-    // Below a handful of sequences a ratio only shows whole numbers.
-    if (fair >= 5) {
-      worst = std::max(worst, most / fair);
+    const double fairShare = total / static_cast<double>(group.members.size());
+    // Below 5 sequences, rounding to whole sequences dominates the ratio.
+    if (fairShare >= 5) {
+      worst = std::max(worst, maxMean / fairShare);
     }
   }
   Print("herd.busiest_over_fair.14_deciders_1s_reports", worst, "ratio");
@@ -85,23 +86,23 @@
     shape.replicas = replicas;
     const Fleet fleet = MakeBenchFleet(shape);
     const auto planStart = std::chrono::steady_clock::now();
-    const FlowPlan plan = PlanOf(fleet);
+    const FlowPlan plan = MakePlan(fleet);
     const Seconds planTime = std::chrono::steady_clock::now() - planStart;
     ChainPlanner planner(fleet, {});
     planner.SetPlan(plan);
     planner.Loads().SetDaemons(kDeciders);
     Random random(3);
-    ChainChoiceInput facts;
-    facts.now = Instant{1s};
-    std::vector<Chain> held;
+    ChainChoiceInput input;
+    input.now = Instant{1s};
+    std::vector<Chain> activeChains;
     const auto start = std::chrono::steady_clock::now();
     for (int i = 0; i < kRounds; ++i) {
-      const Result<Choice> choice = planner.Choose(facts, random);
+      const Result<Choice> choice = planner.Choose(input, random);
       planner.OnStart(choice->chain);
-      held.push_back(choice->chain);
-      if (held.size() > 82) {
-        planner.OnEnd(held.front());
-        held.erase(held.begin());
+      activeChains.push_back(choice->chain);
+      if (activeChains.size() > 82) {
+        planner.OnEnd(activeChains.front());
+        activeChains.erase(activeChains.begin());
       }
     }
     const Seconds time = std::chrono::steady_clock::now() - start;
