--- a/UnitTests/PlacementOrdersTest.cpp
+++ b/UnitTests/PlacementOrdersTest.cpp
@@ -72,7 +72,7 @@
     for (int i = 0; i < many; ++i) {
       this->Put("i" + std::to_string(i));
       orders->Send(model, {"i" + std::to_string(i), kTargetLayers,
-                           GiveUp::AbortRequests});
+                           ReleaseMode::AbortRequests});
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t(settings.maxConcurrentCalls),
                          control.probed.size());
