--- a/UnitTests/ChainChooserTest.cpp
+++ b/UnitTests/ChainChooserTest.cpp
@@ -86,7 +86,7 @@
     }
   }
 
-  // tavua-orders, scale-1: chains that left their domain for a single range
+  // Guards against chains that leave their domain for a single range: they
   // saturated the link, and requests occupied memory everywhere while they
   // waited.
   void Choose_GapInDomain_UsesAnotherDomain() {
@@ -163,8 +163,8 @@
     }
   }
 
-  // tavua-orders-grown, trouble-1: 192 requests ran at the first upstream and
-  // others queued, while it had memory for three times as many.
+  // Guards against counting only memory at the first upstream: 192 requests ran
+  // there and others queued, while it had memory for three times as many.
   void Capacity_FirstLayers_IsLimitedBySlots() {
     UpstreamEntry entry;
     entry.kind = "a100s";
@@ -197,8 +197,9 @@
     CPPUNIT_ASSERT(repaired->at(2).upstream == upstreams[3]);
   }
 
-  // tavua-orders-grown, scale-2: 1,242 of 2,067 orders were refused, most of
-  // them because a member was leaving and ran the request already.
+  // Guards against repairs that keep a leaving member: 1,242 of 2,067 orders
+  // were refused, most of them because a member was leaving and ran the request
+  // already.
   void Repair_LeavingMember_IsReplaced() {
     this->Add("first", "a", "h100", {0, 30});
     this->Add("giving", "a", "h100", {30, 50});
--- a/UnitTests/ClusterViewTest.cpp
+++ b/UnitTests/ClusterViewTest.cpp
@@ -74,8 +74,8 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{20}, view.ConfigStoreRevision().number);
   }
 
-  // tavua-orders-grown, trouble-3: each change of the configuration had up to
-  // forty requests refused because the new one was not validated yet. At the
+  // Guards against refusals after each change of the configuration: up to forty
+  // requests were refused because the new one was not validated yet. At the
   // time of the older validation neither configuration had been replaced.
   void Configuration_Newer_KeepsTheValidationAge() {
     view.OnConfiguration({"", ConfigText(9), 20});
@@ -134,8 +134,8 @@
     CPPUNIT_ASSERT(view.Directory().Find("i1") != nullptr);
   }
 
-  // tavua-orders, scale-1: an update without upstreams, for a requester that
-  // was up to date, was applied as an empty list.
+  // Guards against removing all upstreams: an update without upstreams, for a
+  // requester that was up to date, was applied as an empty list.
   void Update_WithoutUpstreams_RemovesNone() {
     view.OnUpstreams({{{"i1", EntryText("ready"), 5}}, 50});
     ClusterView sender{*decoder, *this, clock};
@@ -184,8 +184,8 @@
     CPPUNIT_ASSERT(requester.Directory().Find("i1") != nullptr);
   }
 
-  // tavua-orders-grown, trouble-1: a daemon whose store was back kept an
-  // expired entry as "ready" in the list that it sent to the others. They
+  // Guards against sending expired entries: a daemon that reached its store
+  // again kept one as "ready" in the list that it sent to the others. They
   // registered the upstream again, and one sent a request to it while it
   // drained.
   void Update_AfterAnOutage_OmitsExpiredEntries() {
@@ -246,7 +246,7 @@
                          requester.Daemons().ValueOf("members/a"));
   }
 
-  // tavua-orders-grown, trouble-1 seed 649340125919: a daemon whose sync source
+  // Guards against stale lists that pass for fresh: a daemon whose sync source
   // had been killed received validations of the configuration from others,
   // considered its list of upstreams fresh, and sent a request to an upstream
   // 3.2 s after it had begun to drain.
@@ -319,8 +319,8 @@
     CPPUNIT_ASSERT(view.Directory().Find("i1") == nullptr);
   }
 
-  // tavua-orders-grown, trouble-3: after a partition a peer reported the
-  // expired entries before the store responded here; the daemon had no
+  // Guards against an empty domain after a partition: a peer reported the
+  // expired entries before the store responded here, and the daemon had no
   // upstreams of its own domain for two seconds.
   void Upstream_MissingFromPeerInAnOutage_IsKeptForTheGracePeriod() {
     view.OnUpstreams({{{"i1", EntryText("ready"), 5}}, 50});
@@ -341,9 +341,10 @@
     CPPUNIT_ASSERT(view.Directory().Find("i1") == nullptr);
   }
 
-  // darovna-ops-grown, scale-2 (a trial): a sync source that could not reach
-  // the store learnt from others that an upstream was leaving. With a grace
-  // period for expired entries its domain sent a request there 3.2 s later.
+  // Guards against a grace period for a single removal: a sync source that
+  // could not reach the store learnt from others that an upstream was leaving,
+  // and with the grace period for expired entries its domain sent a request
+  // there 3.2 s later.
   void Upstream_RemovedAloneInAnOutage_IsRemovedAtOnce() {
     view.OnUpstreams({{{"i1", EntryText("ready"), 5},
                        {"i2", EntryText("ready"), 6},
@@ -359,8 +360,8 @@
     CPPUNIT_ASSERT(view.Directory().Find("i1") != nullptr);
   }
 
-  // darovna-ops-grown, hunt a779173e: a chain used one address twice, once as
-  // the incarnation before a partition and once as the one after.
+  // Guards against a chain that uses one address twice, once as the incarnation
+  // before a partition and once as the one after.
   void Upstream_Reregistered_IsTheSameObject() {
     view.OnUpstreams({{{"i1", EntryText("ready"), 5}}, 50});
     const UpstreamPtr upstream = view.Directory().Find("i1");
--- a/UnitTests/DomainRecoveryMonitorTest.cpp
+++ b/UnitTests/DomainRecoveryMonitorTest.cpp
@@ -56,8 +56,7 @@
   void setUp() override { clock.Advance(60s); }
 
   // Guards against a domain without a chain after its partition has healed:
-  // for 3 s, its daemons suspected all other upstreams (tavua-orders-grown,
-  // trouble-3).
+  // for 3 s, its daemons suspected all other upstreams.
   void Tick_PartitionedDomainResponds_ClearsSuspicions() {
     Add("a", 10, "t4");
     Add("b", 10, "t4");
--- a/UnitTests/EdgeSettingsTest.cpp
+++ b/UnitTests/EdgeSettingsTest.cpp
@@ -14,9 +14,9 @@
   EdgeSettings settings;
 
  public:
-  // Found by trouble-1 of tavua-orders, seed 151092778697: a request reached an
-  // upstream 2,012 ms after the upstream announced its departure, because a
-  // list was used until it was 1.7 s old.
+  // Guards against lists that are used for longer than a drain notice allows: a
+  // request reached an upstream 2,012 ms after the upstream announced its
+  // departure, because a list was used until it was 1.7 s old.
   void MaxSyncStaleness_DefaultNotice_LeavesTimeToQueryStore() {
     settings.drainNotice = 2s;
     CPPUNIT_ASSERT(MaxSyncStaleness(settings) <= 1400ms);
--- a/UnitTests/LiveUpstreamTest.cpp
+++ b/UnitTests/LiveUpstreamTest.cpp
@@ -30,10 +30,10 @@
     CPPUNIT_ASSERT(upstream.IsRefusing(clock.Now()));
   }
 
-  // actas-lima, trouble-1 seed 12: after all daemons were killed some upstreams
-  // refused for a moment. The daemons kept reporting it to each other, and 100
-  // of 170 requests per second were refused until the end of the day. A refusal
-  // now stays local to the daemon that observed it and expires.
+  // Guards against refusals that never expire: after all daemons were killed
+  // some upstreams refused for a moment. The daemons kept reporting it to each
+  // other, and 100 of 170 requests per second were refused until the end of the
+  // run. A refusal stays local to the daemon that observed it and expires.
   void OnRefusal_AfterBackoff_IsNotRefusing() {
     this->Refuse(upstream);
     clock.Advance(2s);
--- a/UnitTests/PlacementControllerTest.cpp
+++ b/UnitTests/PlacementControllerTest.cpp
@@ -148,9 +148,9 @@
     CPPUNIT_ASSERT_EQUAL(std::string("i1"), control.probed.at(0));
   }
 
-  // actas-lima-grown trouble-3, second 40: entries that had expired in an
-  // outage of the store were registered again over three seconds, up to 1.7 s
-  // apart.
+  // Guards against orders while upstreams still register again: entries that
+  // had expired in an outage of the store returned over three seconds, up to
+  // 1.7 s apart.
   void Leader_UpstreamsStillRejoining_OrdersNothing() {
     this->Put("i1", 0, 8);
     this->Run(500ms);
--- a/UnitTests/PlacementPlannerTest.cpp
+++ b/UnitTests/PlacementPlannerTest.cpp
@@ -83,7 +83,7 @@
 
   // Second holders reduce the memory for requests, so their number has to
   // follow the demand. With a constant reserve of 85,000 tokens 25 layers or
-  // more had two holders whatever the demand, and actas-lima ran out of memory.
+  // more had two holders whatever the demand, and requests ran out of memory.
   void Plan_LowDemand_AddsSecondHolders() {
     ApplyOrders(pool,
                 planner.Plan(model, {pool, ObservedDemand{90'000, 0}, {}}));
@@ -158,7 +158,7 @@
     CPPUNIT_ASSERT(planner.Plan(model, {pool, {}, {}}).empty());
   }
 
-  // tavua-orders-grown, quiet-1: only 37 of 98 upstreams were assigned layers.
+  // Guards against unused upstreams: only 37 of 98 were assigned layers.
   void Plan_ManyUpstreams_UsesAll() {
     auto large = MakeDomain("a", 1, 4, 11, 18);
     ApplyOrders(large, planner.Plan(model, {large, {}, {}}));
@@ -167,7 +167,7 @@
     }
   }
 
-  // darovna-ops-grown, quiet-1: some layers had three holders, others memory
+  // Guards against uneven holders: some layers had three holders, others memory
   // for 86,000 tokens in all, of 230,000 that fit; 1,530 of 7,199 requests were
   // refused for lack of memory.
   void Plan_RoomForTwoCopies_LeavesRemainingMemoryToRequests() {
@@ -179,9 +179,8 @@
     }
   }
 
-  // tavua-orders-grown, trouble-1: from second 32 on a single upstream was the
-  // first member of all chains of a domain; a third of the requests waited for
-  // its slots.
+  // Guards against a single upstream as the first member of all chains of a
+  // domain: a third of the requests waited for its slots.
   void Plan_SingleHolderOfFirstLayer_AddsAnother() {
     pool = MakeDomain("a", 0, 3, 9, 13);
     ApplyOrders(pool, planner.Plan(model, {pool, {}, {}}));
@@ -200,8 +199,9 @@
     CPPUNIT_ASSERT(this->HoldersAt("a", 0) >= 2);
   }
 
-  // darovna-ops-grown, sweep at 100 machines and 1,000 upstreams: each was
-  // assigned one layer, and chains of 80 members were refused (served: 0.09).
+  // Guards against chains that are too long: with 100 daemons and 1,000
+  // upstreams each upstream was assigned one layer, chains of 80 members were
+  // refused, and 0.09 of the requests were served.
   void Plan_HundredsOfUpstreams_KeepsChainsShort() {
     pool = MakeDomain("a", 7, 27, 150, 150);
     ApplyOrders(pool, planner.Plan(model, {pool, {}, {}}));
@@ -292,9 +292,9 @@
     return moves;
   }
 
-  // actas-lima, quiet-1: memory was reserved for 85,000 tokens whatever the
-  // load; 95,000 were needed, and 321 of 2,555 streams were refused for lack of
-  // memory.
+  // Guards against a reserve that ignores the load: memory was reserved for
+  // 85,000 tokens, 95,000 were needed, and 321 of 2,555 streams were refused
+  // for lack of memory.
   void Plan_HigherDemand_ReservesMoreMemory() {
     auto few = pool;
     ApplyOrders(few,
@@ -320,9 +320,9 @@
     CPPUNIT_ASSERT(moves <= 20);
   }
 
-  // actas-lima, scale-1: from second 22 on only a quarter was served, even
-  // after all faults had ended, because layers moved only if they had no
-  // holder.
+  // Guards against a layout that never recovers: only a quarter of the requests
+  // was served, even after all faults had ended, because layers moved only if
+  // they had no holder.
   void Plan_UpstreamLost_RecoversInFewMoves() {
     const double demand = 70'000;
     for (const auto& domain :
--- a/UnitTests/RelayTest.cpp
+++ b/UnitTests/RelayTest.cpp
@@ -145,7 +145,7 @@
   }
 
   // Guards against streams that have begun being truncated at once while the
-  // retry budget is exhausted (darovna-ops, mix seed 390029498869, LOST).
+  // retry budget is exhausted.
   void Stream_TruncatedWithoutRetryBudget_WaitsForBudget() {
     RetryBudgetSettings spent;
     spent.capacity = 0.5;
@@ -177,8 +177,7 @@
   }
 
   // Guards against a run beyond the maximum when upstreams truncate a stream
-  // one after the other: one ran three times with two permitted (tavua-orders,
-  // mix seed 557285768698, BUDGET).
+  // one after the other: one ran three times with two permitted.
   void Stream_TruncatedRepeatedly_RunsUpToMaxAttempts() {
     std::size_t runs = 0;
     for (int i = 0; i < 4; ++i) {
--- a/UnitTests/StopPolicyTest.cpp
+++ b/UnitTests/StopPolicyTest.cpp
@@ -25,8 +25,7 @@
   }
 
   // Guards against accepting a stream too late: one that arrived 6.6 s after
-  // SIGTERM was truncated at the end of the grace period (darovna-ops,
-  // trouble-2).
+  // SIGTERM was truncated at the end of the grace period.
   void Accepts_LateStream_IsFalse() {
     policy.Begin(start);
     CPPUNIT_ASSERT(policy.Accepts(true, start + 1s));
--- a/UnitTests/StoreFollowerTest.cpp
+++ b/UnitTests/StoreFollowerTest.cpp
@@ -139,9 +139,8 @@
     follower->Start(aPeersFirst);
   }
 
-  // actas-lima-grown, trouble-3: in an outage of the store each of 59 daemons
-  // made three calls a second, two of them for lists, which cost 0.07 of the
-  // score.
+  // Guards against useless calls in an outage of the store: each of 59 daemons
+  // made three calls a second, two of them for lists.
   void StoreUnreachable_Lists_AreNotRead() {
     this->Begin(false);
     this->RunUntil([this] { return store.validations >= 12; });
--- a/UnitTests/UpstreamProberTest.cpp
+++ b/UnitTests/UpstreamProberTest.cpp
@@ -126,8 +126,7 @@
     CPPUNIT_ASSERT_EQUAL(1.0, upstream->Slowdown(clock.Now()));
   }
 
-  // Guards against slow daemons suspecting all upstreams of their domain
-  // (tavua-orders-grown, trouble-3).
+  // Guards against slow daemons suspecting all upstreams of their domain.
   void Probe_TimeoutNoticedLate_IsInconclusive() {
     prober.Probe(upstream);
     clock.Advance(settings.timeout + settings.maxTimeoutLateness + 1ms);
@@ -139,9 +138,8 @@
 
   // Guards against verifying a report about a plain service by a probe, to
   // which such a service never responds. One failed call made all daemons
-  // suspect the upstream again and again; from second 29 on, two thirds of its
-  // servers were unused until all daemons were killed (tavua-orders-grown,
-  // trouble-3).
+  // suspect the upstream again and again, and after 29 s two thirds of its
+  // upstreams were unused until all daemons were killed.
   void Verify_PlainService_IsNotProbed() {
     UpstreamEntry entry;
     entry.id = "plain";
@@ -190,7 +188,7 @@
   }
 
   // Guards against trusting reports of slow daemons: their peers did, and
-  // placed the layers of the domain anew (tavua-orders-grown, trouble-3).
+  // placed the layers of the domain anew.
   void Verify_UpstreamResponds_IsNotSuspected() {
     prober.Verify(upstream);
     control.Answer(1);
--- a/Zincstep/Cluster/PlacementController.h
+++ b/Zincstep/Cluster/PlacementController.h
@@ -41,9 +41,8 @@
   /// Partitioned upstreams rejoin one after the other, with the layers they
   /// hold. Their failure domain is planned once none has rejoined for this
   /// time, two intervals of their registration. With 1.5 s some were still
-  /// missing after an outage of the store (actas-lima-grown trouble-3, second
-  /// 40): six orders aborted running requests, and 160 of 500 responses were
-  /// late until the end of the day.
+  /// missing after an outage of the store: six orders aborted running requests,
+  /// and 160 of 500 responses were late from then on.
   Micros rejoinTime = 2400ms;
   /// Maximum wait for an empty pool to settle.
   Micros maxSettleTime = 4s;
--- a/Zincstep/Net/ConnectionPool.h
+++ b/Zincstep/Net/ConnectionPool.h
@@ -22,7 +22,7 @@
   double keepAliveShare = 0.5;
   /// Maximum idle connections per upstream, which accepts about 1000 from all
   /// daemons together. Streams start and end in random order: with 4, a quarter
-  /// of the calls found no idle connection (run actas-lima quiet-1).
+  /// of the calls found no idle connection.
   std::size_t maxIdleConnections = 12;
   /// After a pooled connection failed, no connection to that upstream is pooled
   /// for so long: the causes of such failures last for some seconds.
