--- a/UnitTests/CrashingRequestTest.cpp
+++ b/UnitTests/CrashingRequestTest.cpp
@@ -1,12 +1,12 @@
 // Guards against a request that crashes each upstream that runs it. Its caller
 // got a 502 and retried with a new id at any daemon, so the next upstream went
-// down with up to 82 streams: 20 upstreams in 13 s, twice in one day. The retry
+// down with up to 82 streams: 20 upstreams in 13 s, and again later. The retry
 // limits count per attempt or per service, so none of them stopped it (the log
 // had `run_lost` with `has_events` false, and `retry_denied` with `saved` 0.64
 // and `most` 19.8).
 //
-// A run lost without an event does not show a crash: on a day without such
-// requests, 11 others lost three runs in a row on live upstreams. Of 25 crashed
+// A run lost without an event does not show a crash: while no such request
+// ran, 11 others lost three runs in a row on live upstreams. Of 25 crashed
 // upstreams, 21 had one to four streams without an event.
 
 #include <set>
--- a/UnitTests/EarlyRequestTest.cpp
+++ b/UnitTests/EarlyRequestTest.cpp
@@ -88,8 +88,7 @@
   }
 
   // Guards against spending retry budget on failed connection attempts: 915
-  // retries were denied on a day that used a tenth of the budget of all
-  // daemons.
+  // retries were denied while a tenth of the budget of all daemons was used.
   void Service_ConnectionsRefused_SpendNoRetryBudget() {
     this->Configure(kRelayConfig);
     RetryBudgetSettings spent;
--- a/UnitTests/PeerMemoryTest.cpp
+++ b/UnitTests/PeerMemoryTest.cpp
@@ -48,8 +48,7 @@
   Tcp::acceptor acceptor;
 };
 
-/// A configuration with 1,600 routes, as many as the operators' largest day
-/// adds.
+/// A configuration with 1,600 routes, the size of the operators' largest.
 std::string LargeConfiguration(int aVersion) {
   std::string text = R"({"configVersion":)" + std::to_string(aVersion) +
                      R"(,"services":[],"routes":[)";
--- a/UnitTests/StoreFollowerTest.cpp
+++ b/UnitTests/StoreFollowerTest.cpp
@@ -168,8 +168,9 @@
     CPPUNIT_ASSERT_EQUAL(before, store.ranges);
   }
 
-  // 295 daemons that started together all read both lists in full: 1,145 reads
-  // of some five calls each on a day with two such starts.
+  // Guards against full reads by all daemons of a start: 295 that started
+  // together read both lists in full, 1,145 reads of some five calls each in
+  // two such starts.
   void Start_FewDaemons_UseStaleReads() {
     store.isUnreachable = false;
     hasSyncSource = true;
--- a/Zincstep/Cluster/StoreFollower.cpp
+++ b/Zincstep/Cluster/StoreFollower.cpp
@@ -398,7 +398,7 @@
 
 void StoreFollower::SkipObserved() {
   // Saves a catch-up call under the other prefix after each change: 120 of 980
-  // calls to the store on a day with many changes.
+  // calls to the store while the configuration changed often.
   for (PrefixFollower* follower : {&this->upstreams, &this->daemons}) {
     follower->SkipTo(this->observed.LastContiguous(follower->At()));
   }
--- a/Zincstep/Edge/EdgeDaemon.cpp
+++ b/Zincstep/Edge/EdgeDaemon.cpp
@@ -218,7 +218,7 @@
   BlockList blockList;
   RetryParticipant retryParticipant;
   /// `PeerMembers::Changes` as of the last update of `limits` and
-  /// `retrySharer`.
+  /// `retryParticipant`.
   std::uint64_t lastMemberChanges = 0;
   Instant lastTickAt{};
   /// When unlisted requests are reported again.
--- a/Zincstep/Pool/UpstreamDirectory.cpp
+++ b/Zincstep/Pool/UpstreamDirectory.cpp
@@ -73,7 +73,7 @@
   const UpstreamPtr upstream = this->Reactivate(std::move(aEntry), aNow);
   if (this->IsSuperseded(*upstream)) {
     // A delayed write of an ended incarnation: it stayed in the list for 3.6 s,
-    // and of 170 sends per second 60 to 75 were refused for it (one day with a
+    // and of 170 sends per second 60 to 75 were refused for it (after a
     // partition).
     upstream->SetEnded(aNow);
   }
